--- a/policy/src/main/java/io/moorstage/policy/CompilationScope.java
+++ b/policy/src/main/java/io/moorstage/policy/CompilationScope.java
@@ -10,18 +10,19 @@
 
 /** What the parts of one policy share: the names and addresses taken, and what is compiled yet. */
 final class CompilationScope {
-  private static final Endpoint UNUSABLE_ADDRESS = Endpoint.of(0, 0);
+  private static final Endpoint PLACEHOLDER_ADDRESS = Endpoint.of(0, 0);
 
   final ErrorCollector errors = new ErrorCollector();
   final ValueReader values = new ValueReader(errors);
-  final UniqueNames<String> zones = new UniqueNames<>(PolicyFailure.DUPLICATE_NAME, errors);
-  final UniqueNames<String> serviceNames = new UniqueNames<>(PolicyFailure.DUPLICATE_NAME, errors);
-  final UniqueNames<String> targetNames = new UniqueNames<>(PolicyFailure.DUPLICATE_NAME, errors);
-  final UniqueNames<Endpoint> addresses =
-      new UniqueNames<>(PolicyFailure.ADDRESS_CLAIMED_TWICE, errors);
+  final UniqueValues<String> zones = new UniqueValues<>(PolicyFailure.DUPLICATE_NAME, errors);
+  final UniqueValues<String> serviceNames =
+      new UniqueValues<>(PolicyFailure.DUPLICATE_NAME, errors);
+  final UniqueValues<String> targetNames = new UniqueValues<>(PolicyFailure.DUPLICATE_NAME, errors);
+  final UniqueValues<Endpoint> addresses =
+      new UniqueValues<>(PolicyFailure.ADDRESS_CLAIMED_TWICE, errors);
 
   /** Services that share the flows of a route statement. */
-  final Set<String> sharingServices = new HashSet<>();
+  final Set<String> routedServices = new HashSet<>();
 
   final List<ForwardingRoute> routes = new ArrayList<>();
   final List<PolicyTarget> targets = new ArrayList<>();
@@ -30,19 +31,19 @@
   Endpoint claimAddress(Token token) {
     Endpoint address = values.endpoint(token);
     if (address == null) {
-      return UNUSABLE_ADDRESS;
+      return PLACEHOLDER_ADDRESS;
     }
     addresses.claim(address, token);
     return address;
   }
 
   /** Collects an error for a statement that is known, and that forwarding does not carry out. */
-  void refuseUnsupported(Token statement) {
-    refuseUnsupported(statement, statement.getText());
+  void reportUnsupported(Token statement) {
+    reportUnsupported(statement, statement.getText());
   }
 
   /** Collects an error for a statement of a given name that forwarding does not carry out. */
-  void refuseUnsupported(Token statement, String name) {
+  void reportUnsupported(Token statement, String name) {
     String detail = "forwarding does not carry out '" + name + "'";
     errors.add(statement, PolicyFailure.UNSUPPORTED_STATEMENT, detail);
   }
--- a/policy/src/main/java/io/moorstage/policy/FlowSettings.java
+++ b/policy/src/main/java/io/moorstage/policy/FlowSettings.java
@@ -46,18 +46,18 @@
   }
 
   /** Collects an error for each setting of a service that has no address for it to hold for. */
-  void refuseAll(String service) {
+  void reportSettingsWithoutAddress(String service) {
     for (FlowSetting setting : FlowSetting.values()) {
       if (settings.has(setting)) {
         String detail = "'" + service + "' has no address; give '" + setting + "' in its routes";
-        scope.errors.add(settings.place(setting), PolicyFailure.SETTING_WITHOUT_ADDRESS, detail);
+        scope.errors.add(settings.token(setting), PolicyFailure.SETTING_WITHOUT_ADDRESS, detail);
       }
     }
   }
 
   private int classOf(Token word) {
     if (word.getType() == PolicyLexer.UNSUPPORTED) {
-      scope.refuseUnsupported(word);
+      scope.reportUnsupported(word);
       return SettingBlock.INVALID;
     }
     return word.getType() == PolicyLexer.REPEATABLE ? REPEATABLE : AT_MOST_ONCE;
--- a/policy/src/main/java/io/moorstage/policy/NearestName.java
+++ b/policy/src/main/java/io/moorstage/policy/NearestName.java
@@ -17,14 +17,14 @@
       return null;
     }
     String nearest = null;
-    int least = Math.min(MAX_DISTANCE, (name.length() + 1) / 2) + 1;
+    int distanceLimit = Math.min(MAX_DISTANCE, (name.length() + 1) / 2) + 1;
     for (String candidate : candidates) {
-      if (Math.abs(candidate.length() - name.length()) >= least) {
+      if (Math.abs(candidate.length() - name.length()) >= distanceLimit) {
         continue;
       }
       int distance = editDistance(name, candidate);
-      if (distance < least) {
-        least = distance;
+      if (distance < distanceLimit) {
+        distanceLimit = distance;
         nearest = candidate;
       }
     }
@@ -41,12 +41,12 @@
     for (int i = 1; i <= from.length(); i++) {
       current[0] = i;
       for (int j = 1; j <= to.length(); j++) {
-        int replaced = previous[j - 1] + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
-        current[j] = Math.min(replaced, Math.min(previous[j], current[j - 1]) + 1);
+        int substitutionCost = previous[j - 1] + (from.charAt(i - 1) == to.charAt(j - 1) ? 0 : 1);
+        current[j] = Math.min(substitutionCost, Math.min(previous[j], current[j - 1]) + 1);
       }
-      int[] swapped = previous;
+      int[] completedRow = previous;
       previous = current;
-      current = swapped;
+      current = completedRow;
     }
     return previous[to.length()];
   }
--- a/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
@@ -102,13 +102,13 @@
     if (statement instanceof RouteStatementContext) {
       new RouteCompiler(scope).compile(((RouteStatementContext) statement).route());
     } else if (statement instanceof UnsupportedStatementContext) {
-      scope.refuseUnsupported(statement.getStart());
+      scope.reportUnsupported(statement.getStart());
     }
   }
 
   private void checkReachable(ServiceContext service) {
     Token name = service.NAME().getSymbol();
-    if (service.ENDPOINT() == null && !scope.sharingServices.contains(name.getText())) {
+    if (service.ENDPOINT() == null && !scope.routedServices.contains(name.getText())) {
       String detail = "'" + name.getText() + "' has no address, and no route names it";
       scope.errors.add(name, PolicyFailure.UNREACHABLE_SERVICE, detail);
     }
--- a/policy/src/main/java/io/moorstage/policy/PolicyFormatter.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyFormatter.java
@@ -60,8 +60,8 @@
         appendPunctuation(token.getText());
         break;
       default:
-        separate(index);
-        append(printed(token));
+        startLineIfNeeded(index);
+        append(textOf(token));
     }
     return index + 1;
   }
@@ -85,16 +85,16 @@
   }
 
   /** Starts a new line before a token that begins a statement or is a comment of its own line. */
-  private void separate(int index) {
+  private void startLineIfNeeded(int index) {
     if (index == 0) {
       return;
     }
     Token token = tokens.get(index);
     Token previous = tokens.get(index - 1);
     int linesBetween = token.getLine() - previous.getLine();
-    boolean ownLineComment = isComment(token) && linesBetween > 0;
+    boolean isOwnLineComment = isComment(token) && linesBetween > 0;
     boolean beginsStatement = !isComment(token) && (endsStatement(previous) || isComment(previous));
-    if (!ownLineComment && !beginsStatement) {
+    if (!isOwnLineComment && !beginsStatement) {
       return;
     }
     endLine();
@@ -161,7 +161,7 @@
     return token.getType() == PolicyLexer.COMMENT;
   }
 
-  private static String printed(Token token) {
+  private static String textOf(Token token) {
     return isComment(token) ? token.getText().stripTrailing() : token.getText();
   }
 }
--- a/policy/src/main/java/io/moorstage/policy/RouteCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/RouteCompiler.java
@@ -18,13 +18,13 @@
 
   private final CompilationScope scope;
   private final FlowSettings flowSettings;
-  private final UniqueNames<String> sharing;
+  private final UniqueValues<String> servicesOfRoute;
   private final List<WeightedService> shares = new ArrayList<>();
 
   RouteCompiler(CompilationScope scope) {
     this.scope = scope;
     this.flowSettings = new FlowSettings(scope);
-    this.sharing = new UniqueNames<>(PolicyFailure.DUPLICATE_NAME, scope.errors);
+    this.servicesOfRoute = new UniqueValues<>(PolicyFailure.DUPLICATE_NAME, scope.errors);
   }
 
   /** Compiles a route, once all services are known. */
@@ -48,7 +48,7 @@
     } else if (item instanceof ShareContext) {
       compileShare((ShareContext) item);
     } else {
-      scope.refuseUnsupported(item.getStart());
+      scope.reportUnsupported(item.getStart());
     }
   }
 
@@ -62,8 +62,8 @@
           "no service '" + name + "' is declared",
           NearestName.find(name, scope.serviceNames.all()));
     }
-    sharing.claim(name, nameToken);
-    scope.sharingServices.add(name);
+    servicesOfRoute.claim(name, nameToken);
+    scope.routedServices.add(name);
     int weight = scope.values.number(share.NUMBER().getSymbol(), 0, MAX_WEIGHT);
     shares.add(new WeightedService(name, weight));
   }
--- a/policy/src/main/java/io/moorstage/policy/ServiceCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/ServiceCompiler.java
@@ -15,7 +15,7 @@
 /** Compiles one service: its targets, and the route to it if it has an address of its own. */
 final class ServiceCompiler {
   /** The weight of a service that shares its flows with no other. */
-  private static final int WHOLE_WEIGHT = 1;
+  private static final int SOLE_SERVICE_WEIGHT = 1;
 
   private final CompilationScope scope;
   private final FlowSettings flowSettings;
@@ -32,13 +32,13 @@
     String name = scope.values.name(nameToken);
     scope.serviceNames.claim(name, nameToken);
     if (service.UNSUPPORTED() != null) {
-      scope.refuseUnsupported(service.UNSUPPORTED().getSymbol());
+      scope.reportUnsupported(service.UNSUPPORTED().getSymbol());
     }
     // Settings hold for the whole service, wherever in it they stand.
     service.serviceItem().forEach(this::readSetting);
     compileTargets(service, nameToken);
     if (service.ENDPOINT() == null) {
-      flowSettings.refuseAll(name);
+      flowSettings.reportSettingsWithoutAddress(name);
     } else {
       compileRoute(name, service.ENDPOINT().getSymbol());
     }
@@ -50,7 +50,7 @@
     } else if (item instanceof DefaultTargetContext) {
       targetCompiler.setDefaults((DefaultTargetContext) item);
     } else if (item instanceof UnsupportedServiceItemContext) {
-      scope.refuseUnsupported(item.getStart());
+      scope.reportUnsupported(item.getStart());
     }
   }
 
@@ -76,6 +76,6 @@
             address.port(),
             flowSettings.deadlineMs(),
             flowSettings.isRepeatable(),
-            List.of(new WeightedService(name, WHOLE_WEIGHT))));
+            List.of(new WeightedService(name, SOLE_SERVICE_WEIGHT))));
   }
 }
--- a/policy/src/main/java/io/moorstage/policy/SettingBlock.java
+++ b/policy/src/main/java/io/moorstage/policy/SettingBlock.java
@@ -14,17 +14,17 @@
   static final int INVALID = -1;
 
   private final Map<K, Integer> values;
-  private final Map<K, Token> places;
+  private final Map<K, Token> tokens;
 
   SettingBlock(Class<K> settings) {
     this.values = new EnumMap<>(settings);
-    this.places = new EnumMap<>(settings);
+    this.tokens = new EnumMap<>(settings);
   }
 
   /** Takes a setting's value, or collects an error if it has one already. */
-  void put(K setting, Token place, int value, ErrorCollector errors) {
-    if (places.putIfAbsent(setting, place) != null) {
-      errors.add(place, PolicyFailure.DUPLICATE_SETTING, "'" + setting + "' is set already");
+  void put(K setting, Token token, int value, ErrorCollector errors) {
+    if (tokens.putIfAbsent(setting, token) != null) {
+      errors.add(token, PolicyFailure.DUPLICATE_SETTING, "'" + setting + "' is set already");
       return;
     }
     values.put(setting, value);
@@ -35,8 +35,8 @@
   }
 
   /** Returns where the setting stands; only for one that this block has. */
-  Token place(K setting) {
-    return places.get(setting);
+  Token token(K setting) {
+    return tokens.get(setting);
   }
 
   /** Returns the setting's value here or in the defaults, or else the fallback. */
--- a/policy/src/main/java/io/moorstage/policy/SyntaxErrorListener.java
+++ b/policy/src/main/java/io/moorstage/policy/SyntaxErrorListener.java
@@ -34,21 +34,21 @@
       String message,
       @Nullable RecognitionException cause) {
     Token found = (Token) offendingSymbol;
-    List<String> words = new ArrayList<>();
+    List<String> keywords = new ArrayList<>();
     List<String> expected = new ArrayList<>();
-    collectExpected((PolicyParser) recognizer, words, expected);
+    collectExpected((PolicyParser) recognizer, keywords, expected);
     String detail = "found " + quote(found) + ", expected " + String.join(" or ", expected);
-    String suggestion = NearestName.find(found.getText(), words);
+    String suggestion = NearestName.find(found.getText(), keywords);
     errors.add(line, column + 1, PolicyFailure.SYNTAX, detail, suggestion);
   }
 
   private static void collectExpected(
-      PolicyParser parser, List<String> words, List<String> expected) {
+      PolicyParser parser, List<String> keywords, List<String> expected) {
     Vocabulary vocabulary = parser.getVocabulary();
     for (int type : supportedTokens(parser)) {
       String literal = vocabulary.getLiteralName(type);
       if (literal != null) {
-        words.add(literal.substring(1, literal.length() - 1));
+        keywords.add(literal.substring(1, literal.length() - 1));
       }
       expected.add(literal != null ? literal : describe(vocabulary.getSymbolicName(type)));
     }
@@ -61,14 +61,14 @@
   private static List<Integer> supportedTokens(PolicyParser parser) {
     // A copy, since the parser's own set cannot be changed.
     IntervalSet types = new IntervalSet(parser.getExpectedTokens());
-    ParserRuleContext place = parser.getContext();
-    if (place instanceof UnsupportedContext) {
+    ParserRuleContext context = parser.getContext();
+    if (context instanceof UnsupportedContext) {
       // Nearly any word may follow; what is missing is the end.
       boolean inBlock = types.contains(PolicyLexer.RIGHT_BRACE);
       return List.of(inBlock ? PolicyLexer.RIGHT_BRACE : PolicyLexer.SEMICOLON);
     }
     types.remove(PolicyLexer.UNSUPPORTED);
-    if (place instanceof TargetBodyContext) {
+    if (context instanceof TargetBodyContext) {
       types.remove(PolicyLexer.WEIGHT);
     }
     return types.toList();
--- a/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
@@ -40,7 +40,7 @@
     String name = scope.values.name(nameToken);
     scope.targetNames.claim(name, nameToken);
     if (target.UNSUPPORTED() != null) {
-      scope.refuseUnsupported(target.UNSUPPORTED().getSymbol());
+      scope.reportUnsupported(target.UNSUPPORTED().getSymbol());
     }
     SettingBlock<TargetSetting> own = read(target.targetBody());
     own.required(TargetSetting.ZONE, defaults, nameToken, scope.errors);
@@ -78,7 +78,7 @@
       int connectionLimit = scope.values.number(number, 1, MAX_CONNECTIONS);
       block.put(TargetSetting.CONNECTIONS, number, connectionLimit, scope.errors);
     } else {
-      scope.refuseUnsupported(setting.getStart(), nameOf(setting));
+      scope.reportUnsupported(setting.getStart(), nameOf(setting));
     }
   }
 
@@ -98,8 +98,8 @@
     }
   }
 
-  private static String zoneName(SettingBlock<TargetSetting> block, String otherwise) {
+  private static String zoneName(SettingBlock<TargetSetting> block, String fallback) {
     boolean has = block.has(TargetSetting.ZONE);
-    return has ? block.place(TargetSetting.ZONE).getText() : otherwise;
+    return has ? block.token(TargetSetting.ZONE).getText() : fallback;
   }
 }
--- a/policy/src/main/java/io/moorstage/policy/UniqueNames.java
+++ b/policy/src/main/java/io/moorstage/policy/UniqueValues.java
@@ -11,21 +11,21 @@
  *
  * @param <T> what is claimed
  */
-final class UniqueNames<T> {
+final class UniqueValues<T> {
   private final Map<T, Token> claims = new LinkedHashMap<>();
   private final PolicyFailure failure;
   private final ErrorCollector errors;
 
-  UniqueNames(PolicyFailure failure, ErrorCollector errors) {
+  UniqueValues(PolicyFailure failure, ErrorCollector errors) {
     this.failure = failure;
     this.errors = errors;
   }
 
   /** Claims a value at a place, or collects an error that names the earlier place. */
-  void claim(T value, Token place) {
-    Token earlier = claims.putIfAbsent(value, place);
+  void claim(T value, Token token) {
+    Token earlier = claims.putIfAbsent(value, token);
     if (earlier != null) {
-      errors.add(place, failure, value + " is taken already, in line " + earlier.getLine());
+      errors.add(token, failure, value + " is taken already, in line " + earlier.getLine());
     }
   }
 
--- a/policy/src/main/java/io/moorstage/policy/ValueReader.java
+++ b/policy/src/main/java/io/moorstage/policy/ValueReader.java
@@ -12,7 +12,7 @@
   private static final int MAX_OCTET = 255;
   private static final int FIRST_MULTICAST_OCTET = 224;
   private static final int MAX_PORT = 65_535;
-  private static final int OCTETS = 4;
+  private static final int OCTET_COUNT = 4;
   private static final int OCTET_BITS = 8;
 
   private final ErrorCollector errors;
@@ -22,19 +22,19 @@
   }
 
   /** Returns the number that a token starts with, or {@link SettingBlock#INVALID}. */
-  int number(Token token, int least, int most) {
+  int number(Token token, int min, int max) {
     long value = leadingNumber(token.getText());
-    if (value < least || value > most) {
-      return refuse(token, "from " + least + " to " + most);
+    if (value < min || value > max) {
+      return reportOutOfRange(token, "from " + min + " to " + max);
     }
     return (int) value;
   }
 
   /** Returns a time in milliseconds, or {@link SettingBlock#INVALID}. */
-  int millis(Token token, int least, int most) {
+  int millis(Token token, int min, int max) {
     long value = leadingNumber(token.getText()) * unitMillis(token.getText());
-    if (value < least || value > most) {
-      return refuse(token, "from " + least + "ms to " + most + "ms");
+    if (value < min || value > max) {
+      return reportOutOfRange(token, "from " + min + "ms to " + max + "ms");
     }
     return (int) value;
   }
@@ -45,7 +45,7 @@
     String[] hostAndPort = token.getText().split(":");
     String[] octets = hostAndPort[0].split("\\.");
     int ipv4 = 0;
-    boolean valid = octets.length == OCTETS;
+    boolean valid = octets.length == OCTET_COUNT;
     for (String octet : octets) {
       long value = leadingNumber(octet);
       valid &= value <= MAX_OCTET;
@@ -71,7 +71,7 @@
     return token.getText();
   }
 
-  private int refuse(Token token, String range) {
+  private int reportOutOfRange(Token token, String range) {
     errors.add(token, PolicyFailure.OUT_OF_RANGE, token.getText() + " is not " + range);
     return SettingBlock.INVALID;
   }
