--- a/policy/src/main/java/io/moorstage/policy/CompilationScope.java
+++ b/policy/src/main/java/io/moorstage/policy/CompilationScope.java
@@ -44,7 +44,7 @@
 
   /** Collects an error for a statement of a given name that forwarding does not carry out. */
   void reportUnsupported(Token statement, String name) {
-    String detail = "forwarding does not carry out '" + name + "'";
+    String detail = "'" + name + "' is not supported by layer-4 forwarding";
     errors.add(statement, PolicyFailure.UNSUPPORTED_STATEMENT, detail);
   }
 }
--- a/policy/src/main/java/io/moorstage/policy/ErrorCollector.java
+++ b/policy/src/main/java/io/moorstage/policy/ErrorCollector.java
@@ -33,7 +33,11 @@
     if (errors.size() == MAX_ERRORS) {
       errors.add(
           new PolicyError(
-              line, column, PolicyFailure.TOO_MANY_ERRORS, "further errors are not listed", null));
+              line,
+              column,
+              PolicyFailure.TOO_MANY_ERRORS,
+              "too many errors; further errors are not listed",
+              null));
       throw new ParseCancellationException();
     }
     errors.add(new PolicyError(line, column, failure, detail, suggestion));
--- a/policy/src/main/java/io/moorstage/policy/FlowSettings.java
+++ b/policy/src/main/java/io/moorstage/policy/FlowSettings.java
@@ -49,7 +49,8 @@
   void reportSettingsWithoutAddress(String service) {
     for (FlowSetting setting : FlowSetting.values()) {
       if (settings.has(setting)) {
-        String detail = "'" + service + "' has no address; give '" + setting + "' in its routes";
+        String detail =
+            "'" + service + "' has no address; set '" + setting + "' in the routes that name it";
         scope.errors.add(settings.token(setting), PolicyFailure.SETTING_WITHOUT_ADDRESS, detail);
       }
     }
--- a/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
@@ -91,7 +91,7 @@
       }
     }
     if (services.isEmpty()) {
-      String detail = "a policy without services would take everything out of service";
+      String detail = "a policy must declare a service; without one, no request would be forwarded";
       scope.errors.add(1, 1, PolicyFailure.NO_SERVICES, detail, null);
     }
     services.forEach(service -> new ServiceCompiler(scope).compile(service));
--- a/policy/src/main/java/io/moorstage/policy/PolicySource.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicySource.java
@@ -28,7 +28,7 @@
     ErrorCollector errors = new ErrorCollector();
     if (text.length() > PolicyCompiler.MAX_SOURCE_LENGTH) {
       String detail =
-          text.length() + " characters; at most " + PolicyCompiler.MAX_SOURCE_LENGTH + " allowed";
+          text.length() + " characters; the limit is " + PolicyCompiler.MAX_SOURCE_LENGTH;
       errors.add(1, 1, PolicyFailure.SOURCE_TOO_LARGE, detail, null);
       errors.throwIfAny();
     }
--- a/policy/src/main/java/io/moorstage/policy/SettingBlock.java
+++ b/policy/src/main/java/io/moorstage/policy/SettingBlock.java
@@ -24,7 +24,7 @@
   /** Takes a setting's value, or collects an error if it has one already. */
   void put(K setting, Token token, int value, ErrorCollector errors) {
     if (tokens.putIfAbsent(setting, token) != null) {
-      errors.add(token, PolicyFailure.DUPLICATE_SETTING, "'" + setting + "' is set already");
+      errors.add(token, PolicyFailure.DUPLICATE_SETTING, "'" + setting + "' is already set");
       return;
     }
     values.put(setting, value);
@@ -51,7 +51,11 @@
       errors.add(
           owner,
           PolicyFailure.MISSING_SETTING,
-          "'" + owner.getText() + "' needs '" + setting + "', here or as the service's default");
+          "'"
+              + owner.getText()
+              + "' requires '"
+              + setting
+              + "', in its own block or in 'default target'");
     }
     return valueOr(setting, defaults, INVALID);
   }
--- a/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
@@ -26,7 +26,7 @@
 
   void setDefaults(DefaultTargetContext statement) {
     if (hasDefaults) {
-      String detail = "'default target' is set already";
+      String detail = "'default target' is already set";
       scope.errors.add(statement.getStart(), PolicyFailure.DUPLICATE_SETTING, detail);
     }
     hasDefaults = true;
--- a/policy/src/main/java/io/moorstage/policy/UniqueValues.java
+++ b/policy/src/main/java/io/moorstage/policy/UniqueValues.java
@@ -25,7 +25,7 @@
   void claim(T value, Token token) {
     Token earlier = claims.putIfAbsent(value, token);
     if (earlier != null) {
-      errors.add(token, failure, value + " is taken already, in line " + earlier.getLine());
+      errors.add(token, failure, value + " is already used on line " + earlier.getLine());
     }
   }
 
--- a/policy/src/main/java/io/moorstage/policy/ValueReader.java
+++ b/policy/src/main/java/io/moorstage/policy/ValueReader.java
@@ -55,7 +55,8 @@
     long port = leadingNumber(hostAndPort[1]);
     valid &= firstOctet >= 1 && firstOctet < FIRST_MULTICAST_OCTET && port >= 1 && port <= MAX_PORT;
     if (!valid) {
-      String detail = token.getText() + " is not the address and port of one machine";
+      String detail =
+          token.getText() + " is not a unicast IPv4 address with a port from 1 to 65535";
       errors.add(token, PolicyFailure.INVALID_ADDRESS, detail);
       return null;
     }
@@ -65,14 +66,15 @@
   /** Returns a name's text; collects an error if it is too long. */
   String name(Token token) {
     if (token.getText().length() > PolicyCompiler.MAX_NAME_LENGTH) {
-      String detail = "a name has at most " + PolicyCompiler.MAX_NAME_LENGTH + " characters";
+      String detail = "a name may have at most " + PolicyCompiler.MAX_NAME_LENGTH + " characters";
       errors.add(token, PolicyFailure.NAME_TOO_LONG, detail);
     }
     return token.getText();
   }
 
   private int reportOutOfRange(Token token, String range) {
-    errors.add(token, PolicyFailure.OUT_OF_RANGE, token.getText() + " is not " + range);
+    errors.add(
+        token, PolicyFailure.OUT_OF_RANGE, token.getText() + " is out of range; must be " + range);
     return SettingBlock.INVALID;
   }
 
