--- a/policy/src/main/java/io/moorstage/policy/CompilationScope.java
+++ b/policy/src/main/java/io/moorstage/policy/CompilationScope.java
@@ -8,8 +8,12 @@
 import java.util.Set;
 import org.antlr.v4.runtime.Token;
 
-/** What the parts of one policy share: the names and addresses taken, and what is compiled yet. */
+/**
+ * State shared by the compilers of one policy's statements: the errors, the names and addresses in
+ * use, and the routes and targets compiled so far.
+ */
 final class CompilationScope {
+  /** Stands for an invalid address; its error has been collected, so compilation fails. */
   private static final Endpoint PLACEHOLDER_ADDRESS = Endpoint.of(0, 0);
 
   final ErrorCollector errors = new ErrorCollector();
@@ -21,13 +25,17 @@
   final UniqueValues<Endpoint> addresses =
       new UniqueValues<>(PolicyFailure.ADDRESS_CLAIMED_TWICE, errors);
 
-  /** Services that share the flows of a route statement. */
+  /** Names of the services in route statements, including undeclared ones. */
   final Set<String> routedServices = new HashSet<>();
 
   final List<ForwardingRoute> routes = new ArrayList<>();
   final List<PolicyTarget> targets = new ArrayList<>();
 
-  /** Claims an address for clients; collects an error if it is taken or not usable. */
+  /**
+   * Claims the address of a service or route; collects an error if it is invalid or already used.
+   *
+   * @return the address, or a placeholder if it is invalid
+   */
   Endpoint claimAddress(Token token) {
     Endpoint address = values.endpoint(token);
     if (address == null) {
@@ -37,12 +45,12 @@
     return address;
   }
 
-  /** Collects an error for a statement that is known, and that forwarding does not carry out. */
+  /** Collects an error for a statement that parses but is not supported by forwarding. */
   void reportUnsupported(Token statement) {
     reportUnsupported(statement, statement.getText());
   }
 
-  /** Collects an error for a statement of a given name that forwarding does not carry out. */
+  /** Collects an error that names an unsupported statement by the given name. */
   void reportUnsupported(Token statement, String name) {
     String detail = "'" + name + "' is not supported by layer-4 forwarding";
     errors.add(statement, PolicyFailure.UNSUPPORTED_STATEMENT, detail);
--- a/policy/src/main/java/io/moorstage/policy/CompiledPolicy.java
+++ b/policy/src/main/java/io/moorstage/policy/CompiledPolicy.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * What a policy text means. Zones and targets keep the order of the text.
+ * The result of compiling a policy. Zones and targets are in the order of the text.
  *
- * @param zones names of the zones that targets may be in
- * @param configuration the routes as balancers use them
- * @param targets the back ends of all services
+ * @param zones names of the declared zones
+ * @param configuration the routes in the form that balancers use
+ * @param targets the targets of all services
  */
 public record CompiledPolicy(
     List<String> zones, ForwardingConfiguration configuration, List<PolicyTarget> targets) {
--- a/policy/src/main/java/io/moorstage/policy/ErrorCollector.java
+++ b/policy/src/main/java/io/moorstage/policy/ErrorCollector.java
@@ -7,7 +7,7 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** Gathers errors up to a bound, so that a text of garbage yields a short list and ends early. */
+/** Collects errors up to a limit, so that compiling a malformed text stops early. */
 final class ErrorCollector {
   static final int MAX_ERRORS = 100;
 
@@ -18,7 +18,7 @@
     add(token, failure, detail, null);
   }
 
-  /** Adds an error at a token, with the nearest allowed name. */
+  /** Adds an error at a token, with the nearest allowed name as a suggestion. */
   void add(Token token, PolicyFailure failure, String detail, @Nullable String suggestion) {
     add(token.getLine(), token.getCharPositionInLine() + 1, failure, detail, suggestion);
   }
@@ -26,7 +26,8 @@
   /**
    * Adds an error.
    *
-   * @throws ParseCancellationException when the list is full
+   * @throws ParseCancellationException if the list is full; {@link PolicyFailure#TOO_MANY_ERRORS}
+   *     is added to it first
    */
   void add(
       int line, int column, PolicyFailure failure, String detail, @Nullable String suggestion) {
@@ -43,7 +44,11 @@
     errors.add(new PolicyError(line, column, failure, detail, suggestion));
   }
 
-  /** Throws everything gathered so far, if there is anything. */
+  /**
+   * Throws the collected errors, sorted by position, if there are any.
+   *
+   * @throws PolicyException with the collected errors
+   */
   void throwIfAny() throws PolicyException {
     if (errors.isEmpty()) {
       return;
--- a/policy/src/main/java/io/moorstage/policy/FlowSetting.java
+++ b/policy/src/main/java/io/moorstage/policy/FlowSetting.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What holds for the flows to one address, given once in its service's or route's block. */
+/** A setting for the flows to one address, allowed once in the block of its service or route. */
 enum FlowSetting {
   CLASS,
   DEADLINE;
--- a/policy/src/main/java/io/moorstage/policy/FlowSettings.java
+++ b/policy/src/main/java/io/moorstage/policy/FlowSettings.java
@@ -6,15 +6,15 @@
 import io.moorstage.policy.generated.PolicyParser.FlowSettingContext;
 import org.antlr.v4.runtime.Token;
 
-/** Reads what holds for the flows to one address: deadline and class of their requests. */
+/** Reads the settings for the flows to one address: the deadline and class of their requests. */
 final class FlowSettings {
-  /** One hour; what is longer is more likely a slip of the unit than a request's time. */
+  /** One hour; a longer deadline is more likely a wrong unit than intended. */
   static final int MAX_DEADLINE_MS = 3_600_000;
 
   private static final int AT_MOST_ONCE = 0;
   private static final int REPEATABLE = 1;
 
-  /** How {@code ForwardingRoute} spells a time that is not known. */
+  /** The value by which {@code ForwardingRoute} represents an unknown timeout. */
   private static final int UNKNOWN_DEADLINE_MS = 0;
 
   private final CompilationScope scope;
@@ -35,17 +35,20 @@
     }
   }
 
-  /** Returns how long a request may take, in milliseconds; 0 if the policy does not say. */
+  /** Returns the maximum duration of a request, in milliseconds; 0 if the policy sets none. */
   int deadlineMs() {
     return settings.valueOr(FlowSetting.DEADLINE, settings, UNKNOWN_DEADLINE_MS);
   }
 
-  /** Returns whether requests may be repeated; not unless the policy says so, which is safe. */
+  /**
+   * Returns whether requests may be repeated. The default is false, which is safe for requests that
+   * must run at most once.
+   */
   boolean isRepeatable() {
     return settings.valueOr(FlowSetting.CLASS, settings, AT_MOST_ONCE) == REPEATABLE;
   }
 
-  /** Collects an error for each setting of a service that has no address for it to hold for. */
+  /** Collects an error for each setting of a service without an address to apply it to. */
   void reportSettingsWithoutAddress(String service) {
     for (FlowSetting setting : FlowSetting.values()) {
       if (settings.has(setting)) {
--- a/policy/src/main/java/io/moorstage/policy/NearestName.java
+++ b/policy/src/main/java/io/moorstage/policy/NearestName.java
@@ -3,14 +3,20 @@
 import java.util.Collection;
 import javax.annotation.Nullable;
 
-/** Finds what a misspelt name most likely meant. */
+/** Finds the most likely correction of a misspelled name. */
 public final class NearestName {
-  /** Names further away than this, or than half their length, are no help. */
+  /**
+   * The maximum edit distance of a suggestion, since more distant names are unlikely to be meant.
+   * For names shorter than 5 characters the limit is half their length, rounded up.
+   */
   private static final int MAX_DISTANCE = 3;
 
   private NearestName() {}
 
-  /** Returns the candidate with the least edit distance, the first of equals, or null. */
+  /**
+   * Returns the candidate with the smallest edit distance, the first one if there are several, or
+   * null if none is near enough or the name is longer than {@link PolicyCompiler#MAX_NAME_LENGTH}.
+   */
   @Nullable
   public static String find(String name, Collection<String> candidates) {
     if (name.length() > PolicyCompiler.MAX_NAME_LENGTH) {
@@ -31,7 +37,7 @@
     return nearest;
   }
 
-  /** Returns the edit distance of Levenshtein: insertions, deletions and replacements. */
+  /** Returns the Levenshtein distance, which counts insertions, deletions and substitutions. */
   static int editDistance(String from, String to) {
     int[] previous = new int[to.length() + 1];
     int[] current = new int[to.length() + 1];
--- a/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyCompiler.java
@@ -16,20 +16,23 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /**
- * Compiles policy text to the configuration of forwarding and to the targets behind it. A pure
- * function of the text: no node state, no clock, no files.
+ * Compiles a policy text to the forwarding configuration and its targets. The result depends on the
+ * text only, not on node state, the clock or files.
  */
 public final class PolicyCompiler {
-  /** The longest text that is read, in characters; 186 for each of 45,000 targets. */
+  /** The maximum length of a policy text, in characters: 186 for each of 45,000 targets. */
   public static final int MAX_SOURCE_LENGTH = 8 * 1024 * 1024;
 
-  /** The longest name of a zone, service or target, in characters. */
+  /** The maximum length of the name of a zone, service or target, in characters. */
   public static final int MAX_NAME_LENGTH = 64;
 
-  /** A policy is the first configuration of whoever reads it; 0 would mean none. */
+  /**
+   * A compiled policy is always the first configuration that its reader gets; version 0 stands for
+   * no configuration.
+   */
   private static final long FIRST_VERSION = 1;
 
-  /** After how long a resting flow may be forgotten; as the platform has it by default. */
+  /** The idle time after which a flow may be evicted; equals the platform's default. */
   private static final int IDLE_TIMEOUT_MS = 60_000;
 
   private final CompilationScope scope = new CompilationScope();
@@ -41,8 +44,8 @@
    *
    * @param text the policy
    * @return its zones, targets, and configuration with version 1
-   * @throws PolicyException with every error found: all syntax errors, or if there are none all
-   *     errors of meaning
+   * @throws PolicyException with all syntax errors, or if there are none, with all semantic errors;
+   *     after 100 errors compilation stops and adds {@link PolicyFailure#TOO_MANY_ERRORS}
    */
   public static CompiledPolicy compile(String text) throws PolicyException {
     return compile(PolicySource.parse(text));
@@ -53,7 +56,7 @@
    *
    * @param source the policy
    * @return its zones, targets, and configuration with version 1
-   * @throws PolicyException with every error of meaning
+   * @throws PolicyException with all semantic errors
    */
   public static CompiledPolicy compile(PolicySource source) throws PolicyException {
     return new PolicyCompiler().compile(source.tree());
@@ -61,7 +64,8 @@
 
   private CompiledPolicy compile(PolicyContext tree) throws PolicyException {
     try {
-      // Zones and services may be named before they are declared.
+      // A policy may use zones and services before it declares them, so all zones are declared
+      // first, then services are compiled, then routes.
       tree.statement().forEach(this::declareZones);
       List<ServiceContext> services = compileServices(tree);
       tree.statement().forEach(this::compileRoute);
--- a/policy/src/main/java/io/moorstage/policy/PolicyError.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyError.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import javax.annotation.Nullable;
 
-/** One error in a policy text, with its place. */
+/** An error in a policy text, with its position. */
 public final class PolicyError {
   private final int line;
   private final int column;
@@ -20,27 +20,29 @@
     this.suggestion = suggestion;
   }
 
-  /** Returns the line, from 1. */
+  /** Returns the line, counted from 1. */
   public int line() {
     return line;
   }
 
-  /** Returns the column, from 1. */
+  /** Returns the column, counted from 1. */
   public int column() {
     return column;
   }
 
-  /** Returns the kind of error. */
+  /** Returns the kind of the error. */
   public PolicyFailure failure() {
     return failure;
   }
 
-  /** Returns one line for people: what is wrong and what was expected. */
+  /** Returns a one-line description of the error for users. */
   public String detail() {
     return detail;
   }
 
-  /** Returns the nearest name or word that would be allowed here, if one is near. */
+  /**
+   * Returns the nearest name or keyword that is allowed at this position, if one is near enough.
+   */
   public Optional<String> suggestion() {
     return Optional.ofNullable(suggestion);
   }
--- a/policy/src/main/java/io/moorstage/policy/PolicyException.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A policy was refused; carries every error that was found, in the order of their places. */
+/** Thrown when a policy is rejected; contains all errors found, sorted by position. */
 public final class PolicyException extends MoorstageException {
   private static final long serialVersionUID = 1L;
 
@@ -13,14 +13,14 @@
   /**
    * Creates an exception.
    *
-   * @param errors what is wrong, at least one; the first one's kind is the exception's
+   * @param errors the errors, at least one; the exception has the failure of the first one
    */
   PolicyException(List<PolicyError> errors) {
     super(errors.get(0).failure(), describe(errors));
     this.errors = List.copyOf(errors);
   }
 
-  /** Returns all errors, in the order of their places. */
+  /** Returns all errors, sorted by position. */
   public List<PolicyError> errors() {
     return errors;
   }
--- a/policy/src/main/java/io/moorstage/policy/PolicyFormatter.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyFormatter.java
@@ -5,8 +5,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Lays a policy text out in the one usual way: two spaces a level, short target and default blocks
- * on one line, at most one blank line. Comments stay. Formatting formatted text changes nothing.
+ * Formats a policy text: indents by two spaces per level, puts short nested blocks, such as those
+ * of targets, on one line, and keeps at most one blank line in a row. Keeps comments. Idempotent.
  */
 public final class PolicyFormatter {
   private static final int MAX_LINE_LENGTH = 100;
@@ -24,7 +24,8 @@
   /**
    * Formats a policy.
    *
-   * @throws PolicyException if the text does not follow the grammar; what it means is not checked
+   * @throws PolicyException if the text does not conform to the grammar; semantic errors are
+   *     ignored
    */
   public static String format(String source) throws PolicyException {
     return new PolicyFormatter(PolicySource.parse(source).tokens()).format();
@@ -33,7 +34,7 @@
   private String format() {
     int index = 0;
     while (tokens.get(index).getType() != Token.EOF) {
-      // Whatever follows a comment on its line would become part of it.
+      // A token on the same line after a comment would become part of the comment.
       if (index > 0 && isComment(tokens.get(index - 1))) {
         endLine();
       }
@@ -66,7 +67,7 @@
     return index + 1;
   }
 
-  /** Prints a block's tokens from its brace to the closing one. */
+  /** Prints a block on one line and returns the index of the token after its closing brace. */
   private int printOnOneLine(int open) {
     int index = open;
     for (; !tokens.get(index).getText().equals("}"); index++) {
@@ -84,7 +85,10 @@
     }
   }
 
-  /** Starts a new line before a token that begins a statement or is a comment of its own line. */
+  /**
+   * Starts a new line before a token that begins a statement or is a comment on its own line. Keeps
+   * one blank line where the source has any, except after an opening brace.
+   */
   private void startLineIfNeeded(int index) {
     if (index == 0) {
       return;
@@ -110,7 +114,10 @@
     return word.equals(";") || word.equals("}") || word.equals("{");
   }
 
-  /** Returns whether a token opens a block without comments and inner blocks that fits the line. */
+  /**
+   * Returns whether a token opens a nested block that fits on the current line and contains neither
+   * comments nor inner blocks.
+   */
   private boolean isShortBlock(int open) {
     if (!tokens.get(open).getText().equals("{") || depth == 0) {
       return false;
--- a/policy/src/main/java/io/moorstage/policy/PolicySource.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicySource.java
@@ -9,7 +9,7 @@
 import org.antlr.v4.runtime.Token;
 import org.antlr.v4.runtime.misc.ParseCancellationException;
 
-/** A policy text that follows the grammar, as a tree and as tokens with the comments among them. */
+/** A policy text that conforms to the grammar: its parse tree, and its tokens with comments. */
 public final class PolicySource {
   private final PolicyContext tree;
   private final List<Token> tokens;
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Parses a text. What it means is not checked yet.
+   * Parses a policy text without checking its semantics.
    *
-   * @throws PolicyException with every syntax error, or if the text is too large
+   * @throws PolicyException with all syntax errors, or if the text is too large
    */
   public static PolicySource parse(String text) throws PolicyException {
     ErrorCollector errors = new ErrorCollector();
--- a/policy/src/main/java/io/moorstage/policy/PolicyTarget.java
+++ b/policy/src/main/java/io/moorstage/policy/PolicyTarget.java
@@ -1,13 +1,14 @@
 package io.moorstage.policy;
 
 /**
- * A back end as a policy declares it. Where it runs, its address, is for whoever starts it.
+ * A target as declared in a policy. Its address is not part of the policy; it is set when the
+ * target is started.
  *
  * @param name name of the target, unique in the policy
  * @param service name of its service
  * @param zone name of its zone
- * @param slotCount requests that it works on at a time, 1 or more
- * @param connectionLimit connections that it holds at a time, no fewer than slots
+ * @param slotCount maximum number of requests that it processes concurrently, at least 1
+ * @param connectionLimit maximum number of concurrent connections, at least {@code slotCount}
  */
 public record PolicyTarget(
     String name, String service, String zone, int slotCount, int connectionLimit) {}
--- a/policy/src/main/java/io/moorstage/policy/RouteCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/RouteCompiler.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import org.antlr.v4.runtime.Token;
 
-/** Compiles one route: an address whose new flows several services share by weight. */
+/** Compiles one route: an address whose new flows are split among services by weight. */
 final class RouteCompiler {
-  /** The weights of as many services as a text can hold still add up to an int. */
+  /**
+   * The maximum weight of a service. The sum of the weights fits an int for as many services as a
+   * policy text can contain.
+   */
   static final int MAX_WEIGHT = 1_000;
 
   private final CompilationScope scope;
@@ -27,7 +30,7 @@
     this.servicesOfRoute = new UniqueValues<>(PolicyFailure.DUPLICATE_NAME, scope.errors);
   }
 
-  /** Compiles a route, once all services are known. */
+  /** Compiles a route; all services must have been compiled before. */
   void compile(RouteContext route) {
     Token addressToken = route.ENDPOINT().getSymbol();
     Endpoint address = scope.claimAddress(addressToken);
--- a/policy/src/main/java/io/moorstage/policy/ServiceCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/ServiceCompiler.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.antlr.v4.runtime.Token;
 
-/** Compiles one service: its targets, and the route to it if it has an address of its own. */
+/** Compiles one service: its targets, and its route if the service has an address of its own. */
 final class ServiceCompiler {
-  /** The weight of a service that shares its flows with no other. */
+  /** The weight of the only service of a route. */
   private static final int SOLE_SERVICE_WEIGHT = 1;
 
   private final CompilationScope scope;
@@ -34,7 +34,7 @@
     if (service.UNSUPPORTED() != null) {
       scope.reportUnsupported(service.UNSUPPORTED().getSymbol());
     }
-    // Settings hold for the whole service, wherever in it they stand.
+    // Settings apply to the whole service wherever they stand, so they are read before the targets.
     service.serviceItem().forEach(this::readSetting);
     compileTargets(service, nameToken);
     if (service.ENDPOINT() == null) {
--- a/policy/src/main/java/io/moorstage/policy/SettingBlock.java
+++ b/policy/src/main/java/io/moorstage/policy/SettingBlock.java
@@ -5,12 +5,12 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * The settings of one block, each given at most once, with the places where they stand.
+ * The settings of one block, each allowed once, with the tokens that set them.
  *
- * @param <K> the settings that such a block may hold
+ * @param <K> the settings that are allowed in the block
  */
 final class SettingBlock<K extends Enum<K>> {
-  /** Stands for a value that was refused or is missing; the error has been collected already. */
+  /** Stands for a value that is invalid or missing; its error has been collected. */
   static final int INVALID = -1;
 
   private final Map<K, Integer> values;
@@ -21,7 +21,7 @@
     this.tokens = new EnumMap<>(settings);
   }
 
-  /** Takes a setting's value, or collects an error if it has one already. */
+  /** Sets a setting's value, or collects an error if the setting already has one. */
   void put(K setting, Token token, int value, ErrorCollector errors) {
     if (tokens.putIfAbsent(setting, token) != null) {
       errors.add(token, PolicyFailure.DUPLICATE_SETTING, "'" + setting + "' is already set");
@@ -34,18 +34,21 @@
     return values.containsKey(setting);
   }
 
-  /** Returns where the setting stands; only for one that this block has. */
+  /** Returns the token that set a setting; the block must have the setting. */
   Token token(K setting) {
     return tokens.get(setting);
   }
 
-  /** Returns the setting's value here or in the defaults, or else the fallback. */
+  /** Returns the setting's value in this block, else in the defaults, else the fallback. */
   int valueOr(K setting, SettingBlock<K> defaults, int fallback) {
     Integer own = values.get(setting);
     return own != null ? own : defaults.values.getOrDefault(setting, fallback);
   }
 
-  /** Returns the setting's value here or in the defaults; collects an error if there is none. */
+  /**
+   * Returns the setting's value in this block, else in the defaults; collects an error and returns
+   * {@link #INVALID} if neither has one.
+   */
   int required(K setting, SettingBlock<K> defaults, Token owner, ErrorCollector errors) {
     if (!has(setting) && !defaults.has(setting)) {
       errors.add(
--- a/policy/src/main/java/io/moorstage/policy/SyntaxErrorListener.java
+++ b/policy/src/main/java/io/moorstage/policy/SyntaxErrorListener.java
@@ -15,7 +15,7 @@
 import org.antlr.v4.runtime.Vocabulary;
 import org.antlr.v4.runtime.misc.IntervalSet;
 
-/** Turns the parser's complaints into typed errors that say what was expected. */
+/** Converts the parser's syntax errors to policy errors that list the expected tokens. */
 final class SyntaxErrorListener extends BaseErrorListener {
   private static final int MAX_QUOTED_LENGTH = 40;
 
@@ -55,15 +55,15 @@
   }
 
   /**
-   * Returns the types of tokens that may stand at the parser's place, without the words that parse
-   * only so that the compiler can refuse them.
+   * Returns the types of the tokens that are allowed at the parser's position, without the keywords
+   * that the grammar accepts only so that the compiler can report them as unsupported.
    */
   private static List<Integer> supportedTokens(PolicyParser parser) {
-    // A copy, since the parser's own set cannot be changed.
+    // Copied because the parser's own set is read-only.
     IntervalSet types = new IntervalSet(parser.getExpectedTokens());
     ParserRuleContext context = parser.getContext();
     if (context instanceof UnsupportedContext) {
-      // Nearly any word may follow; what is missing is the end.
+      // Almost any token is allowed inside an unsupported statement; only its end is missing.
       boolean inBlock = types.contains(PolicyLexer.RIGHT_BRACE);
       return List.of(inBlock ? PolicyLexer.RIGHT_BRACE : PolicyLexer.SEMICOLON);
     }
--- a/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
+++ b/policy/src/main/java/io/moorstage/policy/TargetCompiler.java
@@ -34,7 +34,7 @@
     defaultZone = zoneName(defaults, "");
   }
 
-  /** Compiles a target, once its service's defaults are known. */
+  /** Compiles a target; the service's default target must have been read before. */
   void compile(TargetContext target, String service) {
     Token nameToken = target.NAME().getSymbol();
     String name = scope.values.name(nameToken);
@@ -84,7 +84,7 @@
 
   private static String nameOf(TargetSettingContext unsupported) {
     String word = unsupported.getStart().getText();
-    // Unlike a target, a service of a route does have a weight.
+    // Says "target" because a weight is supported for a service of a route, but not for a target.
     return unsupported instanceof TargetWeightContext ? "target " + word : word;
   }
 
--- a/policy/src/main/java/io/moorstage/policy/TargetSetting.java
+++ b/policy/src/main/java/io/moorstage/policy/TargetSetting.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a target's block may set. */
+/** A setting of a target, allowed once in its block. */
 enum TargetSetting {
   ZONE,
   SLOTS,
--- a/policy/src/main/java/io/moorstage/policy/UniqueValues.java
+++ b/policy/src/main/java/io/moorstage/policy/UniqueValues.java
@@ -7,9 +7,9 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Names or addresses that may be claimed once.
+ * Names or addresses, each of which may be claimed once.
  *
- * @param <T> what is claimed
+ * @param <T> the type of the claimed values
  */
 final class UniqueValues<T> {
   private final Map<T, Token> claims = new LinkedHashMap<>();
@@ -21,7 +21,7 @@
     this.errors = errors;
   }
 
-  /** Claims a value at a place, or collects an error that names the earlier place. */
+  /** Claims a value, or collects an error with the line of the earlier claim. */
   void claim(T value, Token token) {
     Token earlier = claims.putIfAbsent(value, token);
     if (earlier != null) {
--- a/policy/src/main/java/io/moorstage/policy/ValueReader.java
+++ b/policy/src/main/java/io/moorstage/policy/ValueReader.java
@@ -4,7 +4,7 @@
 import javax.annotation.Nullable;
 import org.antlr.v4.runtime.Token;
 
-/** Reads numbers, times and addresses out of tokens, and refuses those out of range. */
+/** Reads numbers, durations, addresses and names from tokens and reports invalid ones. */
 final class ValueReader {
   private static final int MAX_DIGITS = 10;
   private static final int MILLIS_PER_SECOND = 1_000;
@@ -21,7 +21,10 @@
     this.errors = errors;
   }
 
-  /** Returns the number that a token starts with, or {@link SettingBlock#INVALID}. */
+  /**
+   * Returns the number that a token starts with; collects an error and returns {@link
+   * SettingBlock#INVALID} if it is out of range.
+   */
   int number(Token token, int min, int max) {
     long value = leadingNumber(token.getText());
     if (value < min || value > max) {
@@ -30,7 +33,10 @@
     return (int) value;
   }
 
-  /** Returns a time in milliseconds, or {@link SettingBlock#INVALID}. */
+  /**
+   * Returns a duration in milliseconds; collects an error and returns {@link SettingBlock#INVALID}
+   * if it is out of range, which is also given in milliseconds.
+   */
   int millis(Token token, int min, int max) {
     long value = leadingNumber(token.getText()) * unitMillis(token.getText());
     if (value < min || value > max) {
@@ -39,7 +45,7 @@
     return (int) value;
   }
 
-  /** Returns a service's address, or null. */
+  /** Returns the address of a service or route; collects an error and returns null if invalid. */
   @Nullable
   Endpoint endpoint(Token token) {
     String[] hostAndPort = token.getText().split(":");
@@ -63,7 +69,7 @@
     return Endpoint.of(ipv4, (int) port);
   }
 
-  /** Returns a name's text; collects an error if it is too long. */
+  /** Returns the text of a name; collects an error if it is too long. */
   String name(Token token) {
     if (token.getText().length() > PolicyCompiler.MAX_NAME_LENGTH) {
       String detail = "a name may have at most " + PolicyCompiler.MAX_NAME_LENGTH + " characters";
@@ -78,7 +84,10 @@
     return SettingBlock.INVALID;
   }
 
-  /** Returns a value above every range for numbers that would overflow. */
+  /**
+   * Returns the number at the start of a text. For more than {@link #MAX_DIGITS} digits, returns a
+   * value above every range, so that no number overflows.
+   */
   private static long leadingNumber(String text) {
     int end = 0;
     while (end < text.length() && Character.digit(text.charAt(end), 10) >= 0) {
--- a/policy/src/main/java/io/moorstage/policy/package-info.java
+++ b/policy/src/main/java/io/moorstage/policy/package-info.java
@@ -1,2 +1,5 @@
-/** The policy language: compiler to the configuration of forwarding, and formatter. */
+/**
+ * The policy language: its compiler, which produces the forwarding configuration, and its
+ * formatter.
+ */
 package io.moorstage.policy;
