--- a/policy/src/test/java/io/moorstage/policy/CompiledText.java
+++ b/policy/src/test/java/io/moorstage/policy/CompiledText.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes a compiled policy line by line, everything in it, so that tests can compare two. */
+/** Prints the entire content of a compiled policy as lines, so that tests can compare policies. */
 final class CompiledText {
   private CompiledText() {}
 
--- a/policy/src/test/java/io/moorstage/policy/ExamplePoliciesTest.java
+++ b/policy/src/test/java/io/moorstage/policy/ExamplePoliciesTest.java
@@ -11,12 +11,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * The example policies compile to the expected routes and targets, listen on loopback and are
+ * formatted.
+ */
 final class ExamplePoliciesTest {
   private static final Path EXAMPLES = Path.of("..", "examples");
   private static final Path GOLDEN = Path.of("src", "test", "resources", "golden");
 
   @Test
-  void tunisHasTheSizesOfToday() throws IOException, PolicyException {
+  void tunisHasExpectedRoutesAndTargets() throws IOException, PolicyException {
     CompiledPolicy tunis = compile("tunis.policy");
 
     assertThat(tunis.configuration().version()).isEqualTo(1);
@@ -28,7 +32,7 @@
   }
 
   @Test
-  void perthHasTheSizesOfToday() throws IOException, PolicyException {
+  void perthHasExpectedTargets() throws IOException, PolicyException {
     CompiledPolicy perth = compile("perth.policy");
 
     assertThat(targetsOf("tables", perth)).hasSize(7);
@@ -37,7 +41,7 @@
   }
 
   @Test
-  void ordersAndMovesRunAtMostOnce() throws IOException, PolicyException {
+  void roastAndTablesRequestsRunAtMostOnce() throws IOException, PolicyException {
     ForwardingRoute roast = compile("tunis.policy").configuration().routes().get(0);
     ForwardingRoute tables = compile("perth.policy").configuration().routes().get(0);
 
@@ -51,7 +55,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"tunis", "perth"})
-  void listenOnLoopbackOnly(String name) throws IOException, PolicyException {
+  void examplesListenOnLoopbackOnly(String name) throws IOException, PolicyException {
     for (ForwardingRoute route : compile(name + ".policy").configuration().routes()) {
       assertThat(route.address() >>> 24).isEqualTo(127);
     }
@@ -59,7 +63,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"tunis", "perth"})
-  void compileToTheGoldenTables(String name) throws IOException, PolicyException {
+  void examplesCompileToGoldenFiles(String name) throws IOException, PolicyException {
     String golden = Files.readString(GOLDEN.resolve(name + ".compiled.txt"));
 
     assertThat(CompiledText.print(compile(name + ".policy"))).isEqualTo(golden);
@@ -67,7 +71,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"tunis", "perth"})
-  void areFormatted(String name) throws IOException, PolicyException {
+  void examplesAreFormatted(String name) throws IOException, PolicyException {
     String source = Files.readString(EXAMPLES.resolve(name + ".policy"));
 
     assertThat(PolicyFormatter.format(source)).isEqualTo(source);
--- a/policy/src/test/java/io/moorstage/policy/PolicyCompilerTest.java
+++ b/policy/src/test/java/io/moorstage/policy/PolicyCompilerTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Valid policies compile to the expected configuration; invalid ones give the expected errors. */
 final class PolicyCompilerTest {
   private static final int LOOPBACK = 0x7F000001;
   private static final String TARGET = "target a { zone lac; slots 5; connections 20; } ";
 
-  /** Each row is one line inside of a service that is otherwise right. */
+  /** Each row is one invalid line inside an otherwise valid service, and the expected failure. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -38,14 +39,17 @@
         "slots 5;                                                           | SYNTAX",
         "connections 5;                                                     | SYNTAX",
       })
-  void refusesWithOneTypedError(String line, PolicyFailure expected) {
+  void rejectsInvalidServiceItemWithOneError(String line, PolicyFailure expected) {
     List<PolicyError> errors =
         errors("zones lac; service s at 127.0.0.1:5683 { " + TARGET + "\n" + line + "\n}");
 
     assertThat(errors.stream().map(PolicyError::failure)).containsExactly(expected);
   }
 
-  /** Each row is a statement beside a service at an address and one without. */
+  /**
+   * Each row is one invalid statement and the expected failure. The policy also has a service with
+   * an address and a service without one.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -64,7 +68,7 @@
         "service t { target b { zone lac; slots 1; connections 2; } }      | UNREACHABLE_SERVICE",
         "zones lac;                                                        | DUPLICATE_NAME",
       })
-  void refusesStatementWithOneTypedError(String statement, PolicyFailure expected) {
+  void rejectsInvalidStatementWithOneError(String statement, PolicyFailure expected) {
     String source =
         "zones lac; service s at 127.0.0.1:5683 { "
             + TARGET
@@ -84,7 +88,7 @@
     "t at 127.0.0.1:0, INVALID_ADDRESS",
     "t at 127.0.0.1:65536, INVALID_ADDRESS",
   })
-  void refusesServicesThatClash(String second, PolicyFailure expected) {
+  void rejectsSecondServiceWithConflictOrInvalidAddress(String second, PolicyFailure expected) {
     String source =
         "zones lac; service s at 127.0.0.1:5683 { "
             + TARGET
@@ -96,7 +100,7 @@
   }
 
   @Test
-  void portsMayRepeat() throws PolicyException {
+  void servicesAtDifferentAddressesMayUseTheSamePort() throws PolicyException {
     String source =
         "zones lac; service s at 127.0.0.1:5683 { "
             + TARGET
@@ -106,7 +110,7 @@
   }
 
   @Test
-  void refusesSettingsOfServiceWithoutAddress() {
+  void rejectsFlowSettingsOfServiceWithoutAddress() {
     List<PolicyError> errors =
         errors(
             "zones lac; service s { deadline 5s; "
@@ -117,7 +121,10 @@
     assertThat(errors.get(0).failure()).isEqualTo(PolicyFailure.SETTING_WITHOUT_ADDRESS);
   }
 
-  /** Each row is a statement and where it may stand: in the policy, a service, a target. */
+  /**
+   * Each row is an unsupported statement, the block that contains it (policy, service, target or
+   * route), and the name that the error gives it.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -138,19 +145,18 @@
         "class idempotent;                             | route   | idempotent",
         "shed at 90%;                                  | route   | shed",
       })
-  void namesStatementThatForwardingDoesNotCarryOut(
-      String statement, String place, String expectedName) {
+  void reportsUnsupportedStatementByName(String statement, String block, String expectedName) {
     List<PolicyError> errors =
         errors(
             "zones lac; "
-                + (place.equals("policy") ? statement : "")
+                + (block.equals("policy") ? statement : "")
                 + " service s at 127.0.0.1:5683 { default target { zone lac; slots 5;"
                 + " connections 20; "
-                + (place.equals("target") ? statement : "")
+                + (block.equals("target") ? statement : "")
                 + " } target a { } "
-                + (place.equals("service") ? statement : "")
+                + (block.equals("service") ? statement : "")
                 + " } route 127.0.0.2:5683 { service s weight 1; "
-                + (place.equals("route") ? statement : "")
+                + (block.equals("route") ? statement : "")
                 + " }");
 
     assertThat(errors).hasSize(1);
@@ -161,7 +167,7 @@
   }
 
   @Test
-  void namesAllUnsupportedStatementsAtOnceAndNothingElse() {
+  void reportsAllUnsupportedStatementsAndNothingElse() {
     List<PolicyError> errors =
         errors(
             "zones lac;\n"
@@ -182,7 +188,7 @@
   }
 
   @Test
-  void neverProposesUnsupportedStatements() {
+  void neverSuggestsUnsupportedStatements() {
     List<PolicyError> inService = errors("service s at 127.0.0.1:5683 { bucket 5; }");
     List<PolicyError> inTarget = errors("service s { target a { weigh 5; } }");
     List<PolicyError> unfinished = errors("ports distinct }");
@@ -199,7 +205,7 @@
   }
 
   @Test
-  void reportsAllErrorsInOrderWithPlaceAndNearestName() {
+  void reportsAllErrorsInOrderWithPositionAndNearestName() {
     List<PolicyError> errors =
         errors(
             "zones lac, ariana;\n"
@@ -226,14 +232,14 @@
   }
 
   @Test
-  void refusesPolicyWithoutServices() {
+  void rejectsPolicyWithoutServicesOrTargets() {
     assertThat(errors("# nothing\n").get(0).failure()).isEqualTo(PolicyFailure.NO_SERVICES);
     assertThat(errors("zones lac; service s at 127.0.0.1:5683 { }").get(0).failure())
         .isEqualTo(PolicyFailure.NO_TARGETS);
   }
 
   @Test
-  void boundsSourceAndErrors() {
+  void limitsSourceLengthAndErrorCount() {
     String tooLarge = "#".repeat(PolicyCompiler.MAX_SOURCE_LENGTH + 1);
     List<PolicyError> garbage = errors("zones ; ".repeat(10_000));
 
@@ -244,7 +250,7 @@
   }
 
   @Test
-  void layoutCommentsOrderAndDefaultsWrittenOutDoNotChangeTheMeaning() throws PolicyException {
+  void layoutCommentsOrderAndExplicitDefaultsDoNotChangeTheResult() throws PolicyException {
     String source =
         "zones lac; service s at 127.0.0.1:5683 { class at-most-once; "
             + TARGET
@@ -261,7 +267,7 @@
   }
 
   @Test
-  void targetsTakeOwnSettingsThenServiceDefaults() throws PolicyException {
+  void targetSettingsOverrideServiceDefaults() throws PolicyException {
     CompiledPolicy policy =
         PolicyCompiler.compile(
             "zones lac, ariana; service s at 127.0.0.1:5683 { target a { } "
@@ -276,18 +282,20 @@
   }
 
   @Test
-  void serviceAtAnAddressBecomesRouteOfItsOwn() throws PolicyException {
+  void serviceWithAddressGetsItsOwnRoute() throws PolicyException {
     ForwardingRoute unset = onlyRoute("service s at 127.0.0.1:5683 { " + TARGET + "}");
     ForwardingRoute set =
         onlyRoute("service s at 127.0.0.1:5683 { class repeatable; deadline 2m; " + TARGET + "}");
 
-    WeightedService whole = new WeightedService("s", 1);
-    assertThat(unset).isEqualTo(new ForwardingRoute(LOOPBACK, 5683, 0, false, List.of(whole)));
-    assertThat(set).isEqualTo(new ForwardingRoute(LOOPBACK, 5683, 120_000, true, List.of(whole)));
+    WeightedService onlyService = new WeightedService("s", 1);
+    assertThat(unset)
+        .isEqualTo(new ForwardingRoute(LOOPBACK, 5683, 0, false, List.of(onlyService)));
+    assertThat(set)
+        .isEqualTo(new ForwardingRoute(LOOPBACK, 5683, 120_000, true, List.of(onlyService)));
   }
 
   @Test
-  void routeSharesItsFlowsByWeightAmongServicesDeclaredAnywhere() throws PolicyException {
+  void routeSplitsFlowsByWeightAmongServicesDeclaredAnywhere() throws PolicyException {
     ForwardingRoute route =
         onlyRoute(
             "route 127.0.0.1:5683 { service s weight 90; service t weight 10;"
@@ -322,9 +330,9 @@
   }
 
   private static List<PolicyError> errors(String source) {
-    PolicyException refused =
+    PolicyException rejection =
         assertThrows(PolicyException.class, () -> PolicyCompiler.compile(source));
-    assertThat(refused.failure()).isEqualTo(refused.errors().get(0).failure());
-    return refused.errors();
+    assertThat(rejection.failure()).isEqualTo(rejection.errors().get(0).failure());
+    return rejection.errors();
   }
 }
--- a/policy/src/test/java/io/moorstage/policy/PolicyFormatterTest.java
+++ b/policy/src/test/java/io/moorstage/policy/PolicyFormatterTest.java
@@ -7,7 +7,7 @@
 
 final class PolicyFormatterTest {
   @Test
-  void laysOutBlocksAndKeepsComments() throws PolicyException {
+  void formatsBlocksAndKeepsComments() throws PolicyException {
     String source =
         "# Head.\nzones lac,ariana ;\n\n\n\nservice s at 127.0.0.1:5683{ # opens\n\n"
             + "deadline 5s;# trails\n# above\ntarget a{zone lac;slots 5;connections 20;}\n"
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void breaksBlocksThatDoNotFitTheLine() throws PolicyException {
+  void breaksBlocksThatDoNotFitOnOneLine() throws PolicyException {
     String name = "n".repeat(60);
     String source =
         "service s at 127.0.0.1:5683 { target "
@@ -44,14 +44,14 @@
   }
 
   @Test
-  void wordsAfterCommentDoNotBecomePartOfIt() throws PolicyException {
+  void tokensAfterCommentDoNotBecomePartOfIt() throws PolicyException {
     String formatted = PolicyFormatter.format("zones lac # a\r# b\n, ariana # c\n;");
 
     assertThat(formatted).isEqualTo("zones lac # a\n# b\n, ariana # c\n;\n");
   }
 
   @Test
-  void refusesTextOutsideTheGrammar() {
+  void rejectsTextThatDoesNotConformToTheGrammar() {
     assertThrows(PolicyException.class, () -> PolicyFormatter.format("zones lac"));
   }
 }
--- a/policy/src/test/java/io/moorstage/policy/PolicyPageTest.java
+++ b/policy/src/test/java/io/moorstage/policy/PolicyPageTest.java
@@ -8,13 +8,13 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** What the page of the language shows holds. */
+/** The language page has a valid, formatted example and lists every failure code. */
 final class PolicyPageTest {
   private static final Path PAGE = Path.of("..", "docs", "POLICY.md");
   private static final String FENCE = "```\n";
 
   @Test
-  void exampleOfThePageCompilesAndIsFormatted() throws IOException, PolicyException {
+  void pageExampleCompilesAndIsFormatted() throws IOException, PolicyException {
     String example = Files.readString(PAGE).split(FENCE)[1];
     CompiledPolicy policy = PolicyCompiler.compile(example);
 
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void pageListsEveryError() throws IOException {
+  void pageListsEveryFailureCode() throws IOException {
     String page = Files.readString(PAGE);
 
     for (PolicyFailure failure : PolicyFailure.values()) {
--- a/policy/src/test/java/io/moorstage/policy/PolicyPropertiesTest.java
+++ b/policy/src/test/java/io/moorstage/policy/PolicyPropertiesTest.java
@@ -9,9 +9,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** Any text is compiled, or refused with typed errors; nothing else comes out. */
+/** Any text either compiles or is rejected with policy errors; no other exception is thrown. */
 final class PolicyPropertiesTest {
-  private static final String[] WORDS = {
+  private static final String[] FRAGMENTS = {
     "zones lac, ariana;",
     "ports distinct;",
     "service",
@@ -72,17 +72,17 @@
   };
 
   @Property(tries = 2000, seed = "20261202")
-  void anyTextIsCompiledOrRefused(@ForAll String source) {
-    checkCompiled(source);
+  void anyTextIsCompiledOrRejected(@ForAll String source) {
+    assertCompiledOrRejected(source);
   }
 
   @Property(tries = 5000, seed = "20261202")
-  void anyWordsAreCompiledOrRefused(@ForAll("sentences") String source) {
-    checkCompiled(source);
+  void anyFragmentsAreCompiledOrRejected(@ForAll("fragmentSequences") String source) {
+    assertCompiledOrRejected(source);
   }
 
   @Property(tries = 5000, seed = "20261202")
-  void formattingIsIdempotentAndKeepsTheMeaning(@ForAll("policies") String source)
+  void formattingIsIdempotentAndKeepsTheCompiledResult(@ForAll("policies") String source)
       throws PolicyException {
     String formatted = PolicyFormatter.format(source);
 
@@ -92,11 +92,14 @@
   }
 
   @Provide
-  Arbitrary<String> sentences() {
-    return Arbitraries.of(WORDS).list().ofMaxSize(40).map(words -> String.join(" ", words));
+  Arbitrary<String> fragmentSequences() {
+    return Arbitraries.of(FRAGMENTS)
+        .list()
+        .ofMaxSize(40)
+        .map(fragments -> String.join(" ", fragments));
   }
 
-  /** Right policies with white space and comments of any kind between the words. */
+  /** Valid policies with various white space and comments between the tokens. */
   @Provide
   Arbitrary<String> policies() {
     Arbitrary<String> gap =
@@ -112,10 +115,10 @@
             .list()
             .uniqueElements()
             .map(list -> String.join(" ", list));
-    return items.flatMap(text -> gaps.map(between -> weave(text, between)));
+    return items.flatMap(text -> gaps.map(between -> insertGaps(text, between)));
   }
 
-  private static String weave(String items, List<String> gaps) {
+  private static String insertGaps(String items, List<String> gaps) {
     String source =
         "zones lac ; service s at 127.0.0.1:5683 {"
             + " target a { zone lac ; slots 5 ; connections 20 ; } "
@@ -129,15 +132,15 @@
     return text.toString();
   }
 
-  private static void checkCompiled(String source) {
+  private static void assertCompiledOrRejected(String source) {
     try {
       CompiledPolicy policy = PolicyCompiler.compile(source);
       assertThat(policy.configuration().routes()).isNotEmpty();
       assertThat(policy.targets()).isNotEmpty();
-    } catch (PolicyException refused) {
-      assertThat(refused.errors()).isNotEmpty();
-      assertThat(refused.errors().get(0).line()).isAtLeast(1);
-      assertThat(refused.errors().get(0).column()).isAtLeast(1);
+    } catch (PolicyException rejection) {
+      assertThat(rejection.errors()).isNotEmpty();
+      assertThat(rejection.errors().get(0).line()).isAtLeast(1);
+      assertThat(rejection.errors().get(0).column()).isAtLeast(1);
     }
   }
 }
