--- a/policy/src/main/java/io/moorstage/policy/FlowSettings.java
+++ b/policy/src/main/java/io/moorstage/policy/FlowSettings.java
@@ -8,7 +8,7 @@
 
 /** Reads the settings for the flows to one address: the deadline and class of their requests. */
 final class FlowSettings {
-  /** One hour; a longer deadline is more likely a wrong unit than intended. */
+  /** One hour; a longer deadline is more likely a wrong unit than an intended time. */
   static final int MAX_DEADLINE_MS = 3_600_000;
 
   private static final int AT_MOST_ONCE = 0;
