--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -110,11 +110,11 @@
   }
 
   private void report(TargetSlot slot, AgentReport report, long nowMs) {
-    slot.reportBusy(report.busyFlows(), nowMs);
-    slot.heard(nowMs);
-    slot.reportEjected(report.targetUnfit(), policy.opening().suspicionMs(), nowMs);
+    slot.recordBusyFlows(report.busyFlows(), nowMs);
+    slot.markAgentSeen(nowMs);
+    slot.recordEjection(report.targetUnfit(), policy.opening().suspicionMs(), nowMs);
     if (report.stopping() || report.targetEnded()) {
-      slot.avoid(policy.opening().suspicionMs(), nowMs);
+      slot.markSuspect(policy.opening().suspicionMs(), nowMs);
     }
   }
 
--- a/core/src/main/java/io/moorstage/core/balancer/OpeningRepeats.java
+++ b/core/src/main/java/io/moorstage/core/balancer/OpeningRepeats.java
@@ -87,13 +87,13 @@
   }
 
   private static boolean mayAnswer(BalancerFlow flow, TargetSlot target, long nowMs) {
-    return target.takesNewFlows()
-        && target.heardSince(flow.openedAtMs())
+    return target.acceptsNewFlows()
+        && target.isAgentSeenSince(flow.openedAtMs())
         && !target.isSuspect(nowMs);
   }
 
   private boolean hasOther(BalancerFlow flow, TargetSlot target, long nowMs) {
-    if (!target.takesNewFlows()) {
+    if (!target.acceptsNewFlows()) {
       return true;
     }
     TargetPool pool = tables.candidatesOf(flow.service(), nowMs);
@@ -106,11 +106,11 @@
   void leaveOut(TargetSlot target, GiveBackReason reason, long nowMs) {
     int suspicionMs = settings.suspicionMs();
     switch (reason) {
-      case SILENT, ENDED -> target.suspect(suspicionMs, nowMs);
-      case COLD -> target.pauseCold(COLD_PAUSE_MS, nowMs);
-      case UNFIT -> target.reportEjected(true, suspicionMs, nowMs);
+      case SILENT, ENDED -> target.recordFailedOpening(suspicionMs, nowMs);
+      case COLD -> target.markColdAtLimit(COLD_PAUSE_MS, nowMs);
+      case UNFIT -> target.recordEjection(true, suspicionMs, nowMs);
       case FULL -> {}
-      default -> target.avoid(suspicionMs, nowMs);
+      default -> target.markSuspect(suspicionMs, nowMs);
     }
   }
 
--- a/core/src/main/java/io/moorstage/core/balancer/SearchQuestions.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchQuestions.java
@@ -24,7 +24,7 @@
  */
 final class SearchQuestions {
   /** A new flow goes to one of its two highest ranked targets of the zone, or of all. */
-  static final int FIRST_ASKED = TargetPool.LIKELIEST;
+  static final int FIRST_ASKED = TargetPool.LIKELY_TARGETS;
 
   /** Each further round asks so many times as many agents: three rounds cover 84 targets. */
   private static final int WIDENING = 4;
--- a/core/src/main/java/io/moorstage/core/placement/Eligibility.java
+++ b/core/src/main/java/io/moorstage/core/placement/Eligibility.java
@@ -1,20 +1,23 @@
 package io.moorstage.core.placement;
 
 /**
- * Whether a target may get a new flow, or the first reason why not; see {@link
- * TargetSlot#eligibility}.
+ * Whether a target may get a new flow, or the first reason why not, in the order of the constants.
+ * See {@link TargetSlot#eligibility}.
  */
 public enum Eligibility {
-  /** It may get a new flow. */
+  /** The target may get a new flow. */
   ELIGIBLE,
-  /** The source lists it as leaving, or no longer. */
+  /** The source lists the target as draining, or no longer lists it. */
   LEAVING,
-  /** Its zone is evacuated. */
+  /** The target's zone is evacuated. */
   EVACUATED,
-  /** It is cold, and has just got as many new flows as it bears. */
+  /** The target has recently rejected a new flow because its cold start limit was reached. */
   COLD,
-  /** It has left openings unanswered, or its agent has said that it stops. */
+  /**
+   * The target has recently left an opening segment unanswered or its agent has given one back, or
+   * its agent reports that it is stopping or that the target has ended.
+   */
   SUSPECT,
-  /** Its agent reports that it breaks off requests, or answers none. */
+  /** The target's agent reports it as an outlier that breaks off requests or does not answer. */
   EJECTED
 }
--- a/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
@@ -7,42 +7,45 @@
 import javax.annotation.Nullable;
 
 /**
- * The rule that chooses the target of a new flow.
+ * Chooses the target of a new flow.
  *
  * <p>Inputs: the targets of the service with what this balancer knows of each ({@link TargetSlot}),
- * the flow's hash, and the targets that have refused the flow before. Loads are as the agents have
- * reported them, every 100 ms to 500 ms, and count no more after {@link #REPORT_VALID_MS}.
+ * the flow's hash, and the targets that have rejected the flow or left it unanswered. Loads are
+ * those that the agents report every 100 ms to 500 ms. A report expires after {@link
+ * #REPORT_VALID_MS}.
  *
- * <p>Candidates are the targets whose {@link Eligibility} says so. Ejected ones count as candidates
- * while most targets are ejected, since the others could not bear the load; suspect ones when there
- * is no other, since a silent target may be alive. Of the candidates, the flow ranks two highest in
- * the balancer's own zone, and two of all (rendezvous hashing); the less loaded one of the own zone
- * gets the flow if it has room, or else the less loaded one of all.
+ * <p>Candidates are the targets that are {@link Eligibility#ELIGIBLE}. Ejected targets are also
+ * candidates while most targets are ejected, since the others could not handle the load. Suspect
+ * targets are also candidates when there is no other, since a target that does not answer may still
+ * be running. Rendezvous hashing ranks the candidates for the flow. The less loaded of the two
+ * highest ranked candidates in the balancer's own zone gets the flow if it has room. Otherwise the
+ * less loaded of the two highest ranked candidates in all zones gets it.
  *
- * <p>Two choices balance nearly as well as all (Mitzenmacher, 2001), and as they depend on the flow
- * and the zone alone, a node that has lost its memory finds the target among a few. Without the own
- * zone first, a day's credit was 0.006 lower (mean of three days, one play each), which is at the
- * edge of what such plays show.
+ * <p>Comparing two candidates balances the load nearly as well as comparing all (Mitzenmacher,
+ * 2001). Since the two depend only on the flow, the zone and the set of candidates, a balancer that
+ * has lost its flow table finds the target of a flow among a few. Without the preference for the
+ * own zone, a day's credit was 0.006 lower (mean of three days, one run each), which is close to
+ * the variation between such runs.
  */
 final class TargetChoice {
-  /** Three reports of an agent's regular ones may be lost before its load is old. */
+  /** An agent reports at least every 500 ms: its load is stale when three reports are missing. */
   private static final int REPORT_VALID_MS = 1_500;
 
+  /** A report is never as young as this, so load reports are not used. */
   private static final int REPORTS_IGNORED_MS = -1;
 
   /**
-   * A cold target takes some 1.6 times as long for a request, and its queue grows at once. Not
-   * measured by itself; without any factor a day's credit was 0.003 lower, which is within noise.
+   * Multiplies the load of a cold target. Such a target takes about 1.6 times as long for a
+   * request, and its queue grows at once. Without the factor, a day's credit was 0.003 lower, which
+   * is within the noise.
    */
   private static final double SLOW_START_FACTOR = 2.5;
 
-  /** A target has room while a new request finds a free slot ... */
-  private static final double FREE_LOAD = 1.0;
+  /** Up to this load, a new request finds a free slot at a target of the own zone. */
+  private static final double MAX_OWN_ZONE_LOAD = 1.0;
 
-  /**
-   * ... and half of its slots are free on average, which leaves place for a burst. Not measured.
-   */
-  private static final double ROOMY_USE = 0.5;
+  /** Half of the slots of a target of the own zone stay free on average, to absorb bursts. */
+  private static final double MAX_OWN_ZONE_UTILIZATION = 0.5;
 
   private final String zone;
   private final boolean prefersOwnZone;
@@ -52,9 +55,10 @@
   private final double slowStartFactor;
 
   /**
-   * Creates the rule.
+   * Creates the rule of one balancer.
    *
-   * @param zone the zone of the balancer that chooses
+   * @param zone the balancer's zone
+   * @param policy tells which mechanisms the choice uses
    */
   TargetChoice(String zone, ForwardingPolicy policy) {
     this.zone = zone;
@@ -68,33 +72,34 @@
   /**
    * Chooses the target of a new flow.
    *
-   * @param tried targets that have refused the flow or left it unanswered
-   * @param takesEjected whether most targets are ejected
-   * @return the target, or null if none may take the flow
+   * @param tried targets that have rejected the flow or left it unanswered
+   * @param admitsEjected whether ejected targets are candidates too
+   * @return the target, or null if there is no candidate
    */
   @Nullable
   TargetSlot choose(
       List<TargetSlot> slots,
       FlowId flow,
       List<TargetSlot> tried,
-      boolean takesEjected,
+      boolean admitsEjected,
       long nowMs) {
-    Round round = new Round(flow.hash(), tried, takesEjected, !avoidsSuspects);
-    TargetSlot choice = chooseIn(round, slots, nowMs);
-    return choice != null ? choice : chooseIn(round.withSuspects(), slots, nowMs);
+    CandidateFilter filter =
+        new CandidateFilter(flow.hash(), tried, admitsEjected, !avoidsSuspects);
+    TargetSlot choice = chooseAmong(filter, slots, nowMs);
+    return choice != null ? choice : chooseAmong(filter.withSuspects(), slots, nowMs);
   }
 
-  /** What counts as a candidate in one pass over the targets. */
-  private record Round(
-      long flowHash, List<TargetSlot> tried, boolean takesEjected, boolean takesSuspects) {
+  /** Decides which targets are candidates in one pass over the targets. */
+  private record CandidateFilter(
+      long flowHash, List<TargetSlot> tried, boolean admitsEjected, boolean admitsSuspects) {
 
-    Round withSuspects() {
-      return new Round(flowHash, tried, takesEjected, true);
+    CandidateFilter withSuspects() {
+      return new CandidateFilter(flowHash, tried, admitsEjected, true);
     }
 
-    boolean takes(TargetSlot slot, long nowMs) {
+    boolean isCandidate(TargetSlot slot, long nowMs) {
       boolean eligible =
-          slot.eligibility(!takesSuspects, !takesEjected, nowMs) == Eligibility.ELIGIBLE;
+          slot.eligibility(!admitsSuspects, !admitsEjected, nowMs) == Eligibility.ELIGIBLE;
       return eligible && !isTried(slot.address());
     }
 
@@ -109,25 +114,26 @@
   }
 
   @Nullable
-  private TargetSlot chooseIn(Round round, List<TargetSlot> slots, long nowMs) {
-    HighestTwo ofZone = new HighestTwo(round.flowHash());
-    HighestTwo ofAll = new HighestTwo(round.flowHash());
+  private TargetSlot chooseAmong(CandidateFilter filter, List<TargetSlot> slots, long nowMs) {
+    HighestTwo ofOwnZone = new HighestTwo(filter.flowHash());
+    HighestTwo ofAll = new HighestTwo(filter.flowHash());
     for (TargetSlot slot : slots) {
-      if (!round.takes(slot, nowMs)) {
+      if (!filter.isCandidate(slot, nowMs)) {
         continue;
       }
       ofAll.add(slot);
       if (slot.record().zone().equals(zone)) {
-        ofZone.add(slot);
+        ofOwnZone.add(slot);
       }
     }
-    TargetSlot near = lessLoaded(ofZone, nowMs);
-    boolean stays = prefersOwnZone && near != null && hasRoom(near, nowMs);
-    return stays ? near : lessLoaded(ofAll, nowMs);
+    TargetSlot local = lessLoaded(ofOwnZone, nowMs);
+    boolean staysInZone = prefersOwnZone && local != null && hasRoom(local, nowMs);
+    return staysInZone ? local : lessLoaded(ofAll, nowMs);
   }
 
   private boolean hasRoom(TargetSlot slot, long nowMs) {
-    return weightedLoad(slot, nowMs) <= FREE_LOAD && slot.averageUse() <= ROOMY_USE;
+    return weightedLoad(slot, nowMs) <= MAX_OWN_ZONE_LOAD
+        && slot.averageUtilization() <= MAX_OWN_ZONE_UTILIZATION;
   }
 
   @Nullable
@@ -135,8 +141,8 @@
     if (two.second == null || !comparesTwo) {
       return two.first;
     }
-    boolean secondIsLess = weightedLoad(two.second, nowMs) < weightedLoad(two.first, nowMs);
-    return secondIsLess ? two.second : two.first;
+    boolean isSecondLessLoaded = weightedLoad(two.second, nowMs) < weightedLoad(two.first, nowMs);
+    return isSecondLessLoaded ? two.second : two.first;
   }
 
   private double weightedLoad(TargetSlot slot, long nowMs) {
@@ -144,7 +150,7 @@
     return slot.isCold(nowMs) ? load * slowStartFactor : load;
   }
 
-  /** The two highest ranked targets for a flow among those added. */
+  /** Collects the two highest ranked targets for a flow. */
   private static final class HighestTwo {
     private final long flowHash;
     @Nullable private TargetSlot first;
--- a/core/src/main/java/io/moorstage/core/placement/TargetPool.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetPool.java
@@ -11,12 +11,19 @@
 import java.util.Set;
 import javax.annotation.Nullable;
 
-/** The targets of one service, at most one at an address. Immutable but for the slots. */
+/**
+ * The targets of one service, at most one for each address. Immutable except for the state of the
+ * slots.
+ */
 public final class TargetPool {
+  /** The targets of the zone, and of all zones, that a new flow chooses from. */
   private static final int CHOICES = 2;
 
-  /** A new flow goes to one of its highest ranked targets of the zone, or of all: so many. */
-  public static final int LIKELIEST = 2 * CHOICES;
+  /**
+   * How many targets a new flow may have been given to: the highest ranked ones of the balancer's
+   * zone and the highest ranked ones of all zones.
+   */
+  public static final int LIKELY_TARGETS = 2 * CHOICES;
 
   private final String service;
   private final List<TargetSlot> slots;
@@ -27,7 +34,7 @@
   /**
    * Creates a pool.
    *
-   * @param zone the zone of the balancer that chooses
+   * @param zone the zone of the balancer that chooses among the targets
    */
   public TargetPool(String service, String zone, List<TargetSlot> slots, ForwardingPolicy policy) {
     this.service = service;
@@ -38,28 +45,28 @@
     }
   }
 
-  /** Returns the service's name. */
+  /** Returns the name of the service. */
   public String service() {
     return service;
   }
 
-  /** Returns all targets, those that are leaving or gone included. */
+  /** Returns all targets, including those that are draining or gone. */
   public List<TargetSlot> slots() {
     return slots;
   }
 
-  /** Returns how many targets take new flows as far as the source lists them. */
+  /** Returns the number of targets that are listed as ready and not in an evacuated zone. */
   public int readyCount() {
     int count = 0;
     for (TargetSlot slot : slots) {
-      if (slot.takesNewFlows()) {
+      if (slot.acceptsNewFlows()) {
         count++;
       }
     }
     return count;
   }
 
-  /** Returns whether there are targets, and the zones of all of them are evacuated. */
+  /** Returns whether the pool has targets and all of them are in evacuated zones. */
   public boolean isEvacuated() {
     for (TargetSlot slot : slots) {
       if (!slot.isEvacuated()) {
@@ -70,28 +77,28 @@
   }
 
   /**
-   * Returns whether more than half of the targets that take new flows are ejected. Then the others
-   * could not bear the load, and the fault may lie elsewhere: all are used.
+   * Returns whether more than half of the targets that accept new flows are ejected. The others
+   * could not handle the load then, and the fault may lie elsewhere, so all targets are used.
    */
   public boolean mostAreEjected(long nowMs) {
     int ejected = 0;
     for (TargetSlot slot : slots) {
-      ejected += slot.takesNewFlows() && slot.isEjected(nowMs) ? 1 : 0;
+      ejected += slot.acceptsNewFlows() && slot.isEjected(nowMs) ? 1 : 0;
     }
     return ejected > 0 && ejected * 2 > readyCount();
   }
 
-  /** Returns whether some targets take no new flow just because they are cold. */
+  /** Returns whether a target would accept new flows but has reached its cold start limit. */
   public boolean hasColdAtLimit(long nowMs) {
     for (TargetSlot slot : slots) {
-      if (slot.takesNewFlows() && slot.isColdAtLimit(nowMs)) {
+      if (slot.acceptsNewFlows() && slot.isColdAtLimit(nowMs)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Returns the target at an address, or null if none is known there. */
+  /** Returns the target at an address, or null if the pool has none there. */
   @Nullable
   public TargetSlot at(int address) {
     return slotsByAddress.get(address);
@@ -100,8 +107,8 @@
   /**
    * Chooses the target of a new flow; see {@link TargetChoice}.
    *
-   * @param tried targets that have refused the flow or left it unanswered
-   * @return the target, or null if none may take the flow
+   * @param tried targets that have rejected the flow or left it unanswered
+   * @return the target, or null if there is no candidate
    */
   @Nullable
   public TargetSlot choose(FlowId flow, List<TargetSlot> tried, long nowMs) {
@@ -109,21 +116,21 @@
   }
 
   /**
-   * Returns targets in the order in which a flow of unknown place is looked for: the two that a new
-   * flow is given to in the balancer's zone, and then all by their rank.
+   * Returns targets in the order in which a search queries them for a flow whose target is unknown:
+   * first the two highest ranked ones in the balancer's zone, then all others by rank.
    */
   public static List<TargetSlot> byLikelihood(
       Collection<TargetSlot> targets, String balancerZone, FlowId flow) {
     long flowHash = flow.hash();
     List<TargetSlot> ranked = new ArrayList<>(targets);
     ranked.sort((a, b) -> Long.compareUnsigned(b.rank(flowHash), a.rank(flowHash)));
-    Set<TargetSlot> inOrder = new LinkedHashSet<>();
+    Set<TargetSlot> ordered = new LinkedHashSet<>();
     for (TargetSlot slot : ranked) {
-      if (slot.record().zone().equals(balancerZone) && inOrder.size() < CHOICES) {
-        inOrder.add(slot);
+      if (slot.record().zone().equals(balancerZone) && ordered.size() < CHOICES) {
+        ordered.add(slot);
       }
     }
-    inOrder.addAll(ranked);
-    return List.copyOf(inOrder);
+    ordered.addAll(ranked);
+    return List.copyOf(ordered);
   }
 }
--- a/core/src/main/java/io/moorstage/core/placement/TargetPools.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetPools.java
@@ -10,8 +10,8 @@
 import javax.annotation.Nullable;
 
 /**
- * The targets of each service as one state has them, one at an address: a target that another one
- * has followed there is none any more. Immutable but for the slots.
+ * The targets of each service in one state, at most one for each address: a target that has been
+ * replaced by another one at its address is left out. Immutable except for the state of the slots.
  */
 public final class TargetPools {
   private final ForwardingPolicy policy;
@@ -30,24 +30,24 @@
     this.poolsByService = poolsByService;
   }
 
-  /** Returns pools without any target, for a balancer of a zone. */
+  /** Returns pools without any target, for a balancer in a zone. */
   public static TargetPools empty(ForwardingPolicy policy, String zone) {
     return new TargetPools(policy, zone, new HashMap<>(), new HashMap<>());
   }
 
-  /** Returns the pools of a newer state; targets that stay in one start keep their slots. */
+  /** Returns the pools of a newer state; a target keeps its slot unless it has restarted. */
   public TargetPools update(FleetState state, long nowMs) {
     Map<String, TargetSlot> slots = new HashMap<>();
     Map<String, List<TargetSlot>> members = new HashMap<>();
     for (TargetRecord record : state.targetsByAddress().values()) {
       TargetSlot slot = slotsById.get(record.id());
       if (slot == null || slot.record().startNumber() != record.startNumber()) {
-        // Load, silence and ejection were those of the start before.
+        // Load, suspicion and ejection of the previous start do not apply to this one.
         slot = new TargetSlot(record, nowMs);
       } else {
         slot.update(record, nowMs);
       }
-      slot.evacuate(state.evacuations().isInForce(record.zone()), nowMs);
+      slot.setEvacuated(state.evacuations().isInForce(record.zone()), nowMs);
       slots.put(record.id(), slot);
       members.computeIfAbsent(record.service(), service -> new ArrayList<>()).add(slot);
     }
@@ -58,13 +58,13 @@
     return new TargetPools(policy, zone, slots, pools);
   }
 
-  /** Returns the targets of a service, or null if none is known. */
+  /** Returns the targets of a service, or null if it has none. */
   @Nullable
   public TargetPool ofService(String service) {
     return poolsByService.get(service);
   }
 
-  /** Returns the target at an address, of whatever service, or null if none is known there. */
+  /** Returns the target of any service at an address, or null if there is none. */
   @Nullable
   public TargetSlot at(int address) {
     for (TargetPool pool : poolsByService.values()) {
--- a/core/src/main/java/io/moorstage/core/placement/TargetSlot.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetSlot.java
@@ -6,18 +6,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * What a balancer knows of one target: its record and its own experience with it. The record is
- * replaced when the source lists a newer one; the experience stays.
+ * What a balancer knows of one target: its record, and the load, failures and flows that the
+ * balancer has observed. A newer record from the source replaces the old one; the observations
+ * stay.
  */
 public final class TargetSlot {
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   /**
-   * Suspicion lasts 1, 2, 4 and then 8 s. Not measured; chosen so that a dead target costs little.
+   * With a base of 1 s, suspicion lasts 1, 2, 4 and then 8 s, so that a dead target gets few
+   * openings.
    */
   private static final int MAX_SUSPICION_DOUBLINGS = 3;
 
-  /** Long against a request of some 50 ms, short against a change of the traffic. */
+  /** Much longer than a request of about 50 ms, but shorter than a change in the traffic. */
   private static final double AVERAGING_MS = 2_000;
 
   private volatile TargetRecord record;
@@ -25,31 +27,32 @@
   private final long hash;
   private final AtomicInteger activeFlows = new AtomicInteger();
   private volatile long suspectUntilMs = NEVER;
-  private volatile int silences;
+  private volatile int failedOpenings;
   private volatile long coldUntilMs;
   private volatile long coldAtLimitUntilMs = NEVER;
   private volatile long ejectedUntilMs = NEVER;
-  private volatile int reportedBusy;
-  private volatile double averageBusy;
+  private volatile int reportedBusyFlows;
+  private volatile double averageBusyFlows;
   private final AtomicInteger placedSinceReport = new AtomicInteger();
   private volatile long reportedAtMs = NEVER;
-  private volatile long heardAtMs = NEVER;
+  private volatile long agentLastSeenMs = NEVER;
 
-  /** Creates what is known of a target that has just been listed or heard of. */
+  /** Creates the slot of a target that has just been listed, or whose agent has just appeared. */
   public TargetSlot(TargetRecord record, long nowMs) {
     this.record = record;
-    // By the address, since a node that has lost its memory may know the agent there before the
-    // source lists the target, and has to find the flows of both at the same rank.
+    // Hashes the address rather than the id: a balancer that has lost its flow table may know the
+    // agent at the address before the source lists the target, and both need the same rank so that
+    // the balancer finds their flows.
     this.hash = FlowId.mix(record.address());
     this.coldUntilMs = nowMs + record.slowStartMs();
   }
 
-  /** Returns the newest record. */
+  /** Returns the newest record of the target. */
   public TargetRecord record() {
     return record;
   }
 
-  /** Takes a newer record of the target; it is cold again if it says so. */
+  /** Replaces the record by a newer one; the target is cold again if its slow start is longer. */
   public void update(TargetRecord newer, long nowMs) {
     if (newer.slowStartMs() > record.slowStartMs()) {
       coldUntilMs = nowMs + newer.slowStartMs();
@@ -57,12 +60,15 @@
     record = newer;
   }
 
-  /** Takes whether the zone is evacuated; a target may be cold again when that ends. */
-  public void evacuate(boolean inForce, long nowMs) {
-    if (evacuated && !inForce) {
+  /**
+   * Sets whether the target's zone is evacuated. When the evacuation ends, the target is cold again
+   * for the duration of its slow start.
+   */
+  public void setEvacuated(boolean isEvacuated, long nowMs) {
+    if (evacuated && !isEvacuated) {
       coldUntilMs = Math.max(coldUntilMs, nowMs + record.slowStartMs());
     }
-    evacuated = inForce;
+    evacuated = isEvacuated;
   }
 
   /** Returns whether the target's zone is evacuated. */
@@ -73,8 +79,8 @@
   /**
    * Returns whether the target may get a new flow, or the first reason why not.
    *
-   * @param avoidsSuspects whether a suspect target is left out
-   * @param avoidsEjected whether an ejected target is left out
+   * @param avoidsSuspects whether a suspect target is ineligible
+   * @param avoidsEjected whether an ejected target is ineligible
    */
   Eligibility eligibility(boolean avoidsSuspects, boolean avoidsEjected, long nowMs) {
     if (record.phase() != TargetPhase.READY) {
@@ -95,125 +101,138 @@
     return Eligibility.ELIGIBLE;
   }
 
-  /** Returns whether the target takes new flows as far as the source lists it. */
-  public boolean takesNewFlows() {
+  /** Returns whether the target is listed as ready and its zone is not evacuated. */
+  public boolean acceptsNewFlows() {
     return record.phase() == TargetPhase.READY && !evacuated;
   }
 
-  /** Returns the address of the machine that the target and its agent run on. */
+  /** Returns the IPv4 address of the machine that the target and its agent run on. */
   public int address() {
     return record.address();
   }
 
-  /** Returns how many flows this balancer has opened there and not seen closed. */
+  /** Returns how many open flows this balancer sends to the target. */
   public int activeFlows() {
     return activeFlows.get();
   }
 
-  /** A flow has been placed there, or found there. */
+  /** Counts a flow that this balancer has placed at the target or found there. */
   public void addFlow() {
     activeFlows.incrementAndGet();
     placedSinceReport.incrementAndGet();
   }
 
-  /** A flow there has ended or moved on. */
+  /** Stops counting a flow that has ended or moved to another target. */
   public void removeFlow() {
     activeFlows.decrementAndGet();
   }
 
-  /** The agent beside the target has been heard from. */
-  public void heard(long nowMs) {
-    heardAtMs = nowMs;
+  /** Records that the target's agent has sent a beacon. */
+  public void markAgentSeen(long nowMs) {
+    agentLastSeenMs = nowMs;
   }
 
-  /** Returns whether the agent has been heard from after some time. */
-  public boolean heardSince(long sinceMs) {
-    return heardAtMs > sinceMs;
+  /** Returns whether the target's agent has sent a beacon after {@code sinceMs}. */
+  public boolean isAgentSeenSince(long sinceMs) {
+    return agentLastSeenMs > sinceMs;
   }
 
-  /** Takes the number of requests in progress that the agent reports. */
-  public void reportBusy(int busyFlows, long nowMs) {
+  /** Records the number of requests in progress that the agent reports. */
+  public void recordBusyFlows(int busyFlows, long nowMs) {
     double weight = Math.min(1, (nowMs - reportedAtMs) / AVERAGING_MS);
-    averageBusy += weight * (busyFlows - averageBusy);
-    reportedBusy = busyFlows;
+    averageBusyFlows += weight * (busyFlows - averageBusyFlows);
+    reportedBusyFlows = busyFlows;
     placedSinceReport.set(0);
     reportedAtMs = nowMs;
   }
 
-  /** Returns the rank of this target for a flow; the highest one comes first. */
+  /**
+   * Returns the rank of this target for a flow, as an unsigned number; the highest rank comes
+   * first.
+   */
   public long rank(long flowHash) {
     return FlowId.mix(flowHash ^ hash);
   }
 
-  /** Returns whether the target is left out of new flows for having been silent or left. */
+  /**
+   * Returns whether the target is suspect: it has recently left an opening unanswered or its agent
+   * has given one back, or its agent reports that it is stopping or that the target has ended.
+   */
   public boolean isSuspect(long nowMs) {
     return nowMs < suspectUntilMs;
   }
 
-  /** Returns whether the target is cold: it has started, or its zone has come back, of late. */
+  /**
+   * Returns whether the target is cold: it has started, or the evacuation of its zone has ended,
+   * within the duration of its slow start.
+   */
   public boolean isCold(long nowMs) {
     return nowMs < coldUntilMs;
   }
 
   /**
-   * The target has left an opening segment unanswered.
+   * Records that the target has left an opening segment unanswered or has ended.
    *
-   * @param suspicionMs for how long it gets no new flow; doubled for each silence before
+   * @param suspicionMs for how long the target is suspect after a first failure, in milliseconds;
+   *     doubled for each earlier one, up to three times
    */
-  public void suspect(int suspicionMs, long nowMs) {
-    int doublings = Math.min(silences, MAX_SUSPICION_DOUBLINGS);
-    silences++;
+  public void recordFailedOpening(int suspicionMs, long nowMs) {
+    int doublings = Math.min(failedOpenings, MAX_SUSPICION_DOUBLINGS);
+    failedOpenings++;
     suspectUntilMs = nowMs + ((long) suspicionMs << doublings);
   }
 
-  /** The target takes no new flow for a while, as its agent has said. */
-  public void avoid(int suspicionMs, long nowMs) {
+  /** Makes the target suspect for at least a time, without counting a failed opening. */
+  public void markSuspect(int suspicionMs, long nowMs) {
     suspectUntilMs = Math.max(suspectUntilMs, nowMs + suspicionMs);
   }
 
   /**
-   * The agent reports whether the target is ejected from new flows; holds until it reports again.
+   * Records whether the target is ejected from new flows. An ejection expires after {@code validMs}
+   * unless it is recorded again.
    */
-  public void reportEjected(boolean ejected, int validMs, long nowMs) {
+  public void recordEjection(boolean ejected, int validMs, long nowMs) {
     ejectedUntilMs = ejected ? nowMs + validMs : NEVER;
   }
 
-  /** Returns whether the target has broken off requests of late, or left them unanswered. */
+  /** Returns whether the target is ejected because it breaks off requests or does not answer. */
   public boolean isEjected(long nowMs) {
     return nowMs < ejectedUntilMs;
   }
 
-  /** The target is cold and has got as many new flows as it bears. */
-  public void pauseCold(int pauseMs, long nowMs) {
+  /** Pauses new flows to a cold target that has rejected one at its cold start limit. */
+  public void markColdAtLimit(int pauseMs, long nowMs) {
     coldAtLimitUntilMs = nowMs + pauseMs;
   }
 
-  /** Returns whether the target was cold a moment ago and bore no further flow. */
+  /** Returns whether new flows are paused because the target has reached its cold start limit. */
   public boolean isColdAtLimit(long nowMs) {
     return nowMs < coldAtLimitUntilMs;
   }
 
-  /** The target has answered: its silences are forgotten. */
+  /** Resets the failed openings, if any, and ends the suspicion, since the target has answered. */
   public void clearSuspicion() {
-    if (silences > 0) {
-      silences = 0;
+    if (failedOpenings > 0) {
+      failedOpenings = 0;
       suspectUntilMs = NEVER;
     }
   }
 
   /**
-   * Returns the requests in progress at the target for each of its slots, as far as known: those
-   * that its agent reported and those that this balancer has placed since, or this balancer's own
-   * flows if the report is old.
+   * Returns the load of the target with one more request, as requests for each of its slots. Counts
+   * the requests in progress that the agent has reported and the flows that this balancer has added
+   * since, or only this balancer's own flows if the report is stale.
+   *
+   * @param reportValidMs the age in milliseconds above which a report is stale
    */
   public double load(int reportValidMs, long nowMs) {
-    boolean reported = nowMs - reportedAtMs <= reportValidMs;
-    int busy = reported ? reportedBusy + placedSinceReport.get() : activeFlows.get();
-    return (busy + 1.0) / record.capacity();
+    boolean isReportValid = nowMs - reportedAtMs <= reportValidMs;
+    int busyFlows = isReportValid ? reportedBusyFlows + placedSinceReport.get() : activeFlows.get();
+    return (busyFlows + 1.0) / record.capacity();
   }
 
-  /** Returns the share of its slots that the target has had in use of late, by reports. */
-  public double averageUse() {
-    return averageBusy / record.capacity();
+  /** Returns the share of the target's slots in use, as a moving average of its agent's reports. */
+  public double averageUtilization() {
+    return averageBusyFlows / record.capacity();
   }
 }
--- a/core/src/main/java/io/moorstage/core/placement/package-info.java
+++ b/core/src/main/java/io/moorstage/core/placement/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Which target gets a new flow: the targets of a service, what this balancer knows of each, and the
+ * Placement of new flows: the targets of a service, what this balancer knows of each, and the
  * choice among them.
  *
- * <p>Owns the balancer's experience with each target (load, silence, slow start). Relies on the
- * state for the records of targets. Nothing here is shared with other nodes.
+ * <p>This package holds what the balancer has observed of each target (load, failed openings, slow
+ * start). The records of targets come from the state. Nothing here is shared with other nodes.
  */
 package io.moorstage.core.placement;
--- a/core/src/test/java/io/moorstage/core/placement/TargetPoolTest.java
+++ b/core/src/test/java/io/moorstage/core/placement/TargetPoolTest.java
@@ -44,7 +44,7 @@
 
   private void report(List<TargetSlot> slots, int busyFlows) {
     for (TargetSlot slot : slots) {
-      slot.reportBusy(busyFlows, nowMs);
+      slot.recordBusyFlows(busyFlows, nowMs);
     }
   }
 
@@ -98,7 +98,9 @@
       report(far, port % 2);
       FlowId flow = Fleet.flow(port);
       TargetSlot chosen = pool.choose(flow, List.of(), nowMs);
-      assertThat(TargetPool.byLikelihood(pool.slots(), ZONE, flow).subList(0, TargetPool.LIKELIEST))
+      assertThat(
+              TargetPool.byLikelihood(pool.slots(), ZONE, flow)
+                  .subList(0, TargetPool.LIKELY_TARGETS))
           .contains(chosen);
     }
   }
