--- a/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
@@ -162,7 +162,7 @@
    */
   boolean mayHold(BalancerFlow flow, String service) {
     ForwardingRoute route = state.configuration().routeOf(flow.id());
-    boolean shares = route != null && route.sharesFlowsWith(service);
+    boolean shares = route != null && route.hasService(service);
     return shares || service.equals(flow.service());
   }
 
--- a/core/src/main/java/io/moorstage/core/state/ColdStart.java
+++ b/core/src/main/java/io/moorstage/core/state/ColdStart.java
@@ -1,12 +1,12 @@
 package io.moorstage.core.state;
 
 /**
- * What a service's targets bear after a start, or after an evacuation of their zone.
+ * The limit on new flows to a service's targets after a start, or after an evacuation of their
+ * zone.
  *
- * @param durationMs for how long a target is cold, in milliseconds
- * @param openingsPerS how many new flows it bears in a second meanwhile; 0 for no limit
+ * @param durationMs how long a target is cold, in milliseconds
+ * @param openingsPerS the most new flows that a cold target gets in a second; 0 for no limit
  */
 public record ColdStart(int durationMs, int openingsPerS) {
-  /** No limit. */
   public static final ColdStart UNLIMITED = new ColdStart(0, 0);
 }
--- a/core/src/main/java/io/moorstage/core/state/Evacuations.java
+++ b/core/src/main/java/io/moorstage/core/state/Evacuations.java
@@ -9,10 +9,11 @@
 import java.util.Set;
 
 /**
- * The evacuations of zones as of one state. Immutable.
+ * The evacuations of zones in one state. Immutable.
  *
- * <p>A lifted evacuation stays, with the revision at which it was lifted: without it, a node that
- * is behind would set it again. There is at most one for each zone, so none has to be forgotten.
+ * <p>A lifted evacuation is kept with the revision at which it was lifted. Otherwise a node with an
+ * older state would set it again. Each zone has at most one entry, so lifted ones need not be
+ * evicted.
  */
 public final class Evacuations {
   /** No zone has ever been evacuated. */
@@ -24,17 +25,17 @@
     this.byZone = byZone;
   }
 
-  /** Creates evacuations; of two for the same zone the later one counts. */
+  /** Creates evacuations; of several for one zone, the one with the highest revision is kept. */
   public static Evacuations of(Collection<ZoneEvacuation> evacuations) {
     return NONE.apply(evacuations);
   }
 
-  /** Returns what is known of each zone that is or was evacuated. */
+  /** Returns the latest change of each zone that is or was evacuated. */
   public Collection<ZoneEvacuation> all() {
     return byZone.values();
   }
 
-  /** Returns the zones that are evacuated now. */
+  /** Returns the zones with an evacuation in force. */
   public Set<String> zones() {
     Set<String> zones = new HashSet<>();
     for (ZoneEvacuation evacuation : byZone.values()) {
@@ -45,13 +46,13 @@
     return zones;
   }
 
-  /** Returns whether a zone is evacuated now. */
+  /** Returns whether the evacuation of a zone is in force. */
   public boolean isInForce(String zone) {
     ZoneEvacuation evacuation = byZone.get(zone);
     return evacuation != null && evacuation.inForce();
   }
 
-  /** Returns these evacuations after some changes; for each zone, the latest change counts. */
+  /** Returns these evacuations after changes; for each zone, the highest revision is kept. */
   Evacuations apply(Collection<ZoneEvacuation> changes) {
     if (changes.isEmpty()) {
       return this;
@@ -67,40 +68,42 @@
   }
 
   /**
-   * Returns these evacuations with what is newer in another node's.
+   * Returns these evacuations with the newer changes of another node.
    *
-   * @param ownRevision the source's revision up to which nothing is missing here, 0 for nothing
-   *     known: an evacuation that is not known here, and is not newer, had been lifted before
+   * @param ownRevision the source's {@link Revision} up to which these evacuations are complete, 0
+   *     if nothing is known. An evacuation of an unknown zone that is not newer than this was
+   *     lifted before, and is ignored
    */
   Evacuations merge(Evacuations other, long ownRevision) {
-    List<ZoneEvacuation> news = new ArrayList<>(0);
+    List<ZoneEvacuation> newer = new ArrayList<>(0);
     for (ZoneEvacuation evacuation : other.byZone.values()) {
       if (byZone.containsKey(evacuation.zone()) || evacuation.revision() > ownRevision) {
-        news.add(evacuation);
+        newer.add(evacuation);
       }
     }
-    return apply(news);
+    return apply(newer);
   }
 
   /**
-   * Returns these evacuations after a complete state: what is not in force in it has been lifted by
-   * then, unless it is known from an earlier era of the source, and may be written again.
+   * Returns these evacuations after a complete state has been read. An evacuation that is not in
+   * force in that state has been lifted by then. One from an earlier era of the source stays in
+   * force, since it may be written again.
    *
-   * @param readingRevision the source's {@link Revision} as of which that state is complete
+   * @param completeRevision the source's {@link Revision} up to which that state is complete
    */
-  Evacuations replaceBy(Evacuations reading, long readingRevision) {
-    Map<String, ZoneEvacuation> changed = new HashMap<>(apply(reading.all()).byZone);
+  Evacuations replaceBy(Evacuations complete, long completeRevision) {
+    Map<String, ZoneEvacuation> changed = new HashMap<>(apply(complete.all()).byZone);
     for (ZoneEvacuation known : List.copyOf(changed.values())) {
-      boolean lifted = known.inForce() && !reading.isInForce(known.zone());
-      boolean comparable = !Revision.isOfEarlierEra(known.revision(), readingRevision);
-      if (lifted && comparable && known.revision() <= readingRevision) {
-        changed.put(known.zone(), new ZoneEvacuation(known.zone(), false, readingRevision));
+      boolean isLifted = known.inForce() && !complete.isInForce(known.zone());
+      boolean isComparable = !Revision.isOfEarlierEra(known.revision(), completeRevision);
+      if (isLifted && isComparable && known.revision() <= completeRevision) {
+        changed.put(known.zone(), new ZoneEvacuation(known.zone(), false, completeRevision));
       }
     }
     return new Evacuations(changed);
   }
 
-  /** Returns whether one in force is known from an earlier era than that of a revision only. */
+  /** Returns whether an evacuation in force is from an earlier era than a revision. */
   boolean hasUnconfirmed(long revision) {
     for (ZoneEvacuation known : byZone.values()) {
       if (isUnconfirmed(known, revision)) {
@@ -114,7 +117,7 @@
     return known.inForce() && Revision.isOfEarlierEra(known.revision(), revision);
   }
 
-  /** Returns these evacuations with those lifted that are known from an earlier era only. */
+  /** Returns these evacuations with those lifted that are from an earlier era than a revision. */
   Evacuations withoutUnconfirmed(long revision) {
     Map<String, ZoneEvacuation> confirmed = new HashMap<>(byZone);
     confirmed.replaceAll(
@@ -123,7 +126,7 @@
     return new Evacuations(confirmed);
   }
 
-  /** Returns the changes after a revision. */
+  /** Returns the changes with a higher revision than a known one. */
   Evacuations since(long knownRevision) {
     List<ZoneEvacuation> newer = new ArrayList<>(0);
     for (ZoneEvacuation known : byZone.values()) {
--- a/core/src/main/java/io/moorstage/core/state/FleetState.java
+++ b/core/src/main/java/io/moorstage/core/state/FleetState.java
@@ -6,14 +6,13 @@
 import javax.annotation.Nullable;
 
 /**
- * What the configuration source holds, complete as of a revision. Immutable.
+ * A copy of what the configuration source holds, complete up to a revision. Immutable.
  *
- * <p>States only go forward: {@link #merge} takes from another state what is newer, record by
- * record, so it does not matter whether the other one came from the source or from a peer, or how
- * old it is.
+ * <p>A state never goes back to an older one: {@link #merge} takes only what is newer, record by
+ * record. So a state can be merged from the source or from a peer, however old it is.
  */
 public final class FleetState {
-  /** Nothing is known. */
+  /** The empty state, at revision 0, before any state is read. */
   public static final FleetState EMPTY =
       new FleetState(0, ForwardingConfiguration.NONE, new HashMap<>(), Evacuations.NONE);
 
@@ -36,9 +35,9 @@
   /**
    * Creates a state.
    *
-   * @param revision the source's revision up to which nothing is missing
+   * @param revision the source's {@link Revision} up to which the state is complete
    * @param configuration the newest configuration
-   * @param targets the targets, those that are gone included for as long as they may serve
+   * @param targets the targets, including those that are gone but may still serve flows
    * @param evacuations the evacuations of zones
    */
   public static FleetState of(
@@ -53,29 +52,28 @@
     return new FleetState(revision, configuration, byId, evacuations);
   }
 
-  /** Returns the source's {@link Revision} up to which nothing is missing. */
+  /** Returns the source's {@link Revision} up to which this state is complete. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the newest configuration. */
   public ForwardingConfiguration configuration() {
     return configuration;
   }
 
-  /** Returns the evacuations of zones, those that have been lifted included. */
+  /** Returns the evacuations of zones, including lifted ones. */
   public Evacuations evacuations() {
     return evacuations;
   }
 
-  /** Returns all targets, those that are gone included. */
+  /** Returns all targets, including those that are gone. */
   public Collection<TargetRecord> targets() {
     return targets.values();
   }
 
   /**
-   * Returns the target at each address: the one listed last, of whatever service; those before it
-   * have ended, listed or not.
+   * Returns the target at each address: the one that was listed last, of any service. Earlier ones
+   * at the address have ended, even if the source still lists them.
    */
   public Map<Integer, TargetRecord> targetsByAddress() {
     Map<Integer, TargetRecord> newest = new HashMap<>();
@@ -86,17 +84,17 @@
     return newest;
   }
 
-  /** Returns a target, or null if it was never listed or is forgotten. */
+  /** Returns a target, or null if it was never listed or its record has been evicted. */
   @Nullable
   public TargetRecord target(String id) {
     return targets.get(id);
   }
 
-  /** Returns this state with all that is newer in another one. */
+  /** Returns this state with everything that is newer in another one. */
   public FleetState merge(FleetState other) {
     Map<String, TargetRecord> merged = new HashMap<>(targets);
     for (TargetRecord record : other.targets.values()) {
-      if (isNews(record)) {
+      if (mayUpdate(record)) {
         merged.merge(record.id(), record, TargetRecord::merge);
       }
     }
@@ -108,24 +106,25 @@
   }
 
   /**
-   * Returns whether a record holds something that this state lacks. Nothing is missing up to its
-   * revision: a record from before is an old copy, of a target that has changed or gone since.
+   * Returns whether a record may update this state. The state is complete up to its revision, so a
+   * record that is not newer is a stale copy of a target that has since changed or gone.
    */
-  private boolean isNews(TargetRecord record) {
+  private boolean mayUpdate(TargetRecord record) {
     if (record.revision() > revision || revision == 0) {
       return true;
     }
     TargetRecord known = targets.get(record.id());
-    // A later start counts whatever its revision, and a start that drained before drains on.
+    // A later start is taken at any revision. A record of an earlier era is taken since it may tell
+    // that a start is draining, which lasts until the start ends.
     return known != null
         && (record.startedAfter(known) || Revision.isOfEarlierEra(record.revision(), revision));
   }
 
   /**
-   * Returns what is newer here than at a node that knows another revision; to be merged there.
+   * Returns the changes of this state that another node lacks, for that node to merge.
    *
-   * @param knownRevision the revision up to which that node knows all
-   * @param knownVersion the version of the configuration that it has
+   * @param knownRevision the revision up to which the other node's state is complete
+   * @param knownVersion the version of the other node's configuration
    */
   public FleetState since(long knownRevision, long knownVersion) {
     Map<String, TargetRecord> newer = new HashMap<>();
@@ -134,62 +133,63 @@
         newer.put(record.id(), record);
       }
     }
-    boolean known = configuration.version() <= knownVersion;
+    boolean isConfigurationKnown = configuration.version() <= knownVersion;
     return new FleetState(
         revision,
-        known ? ForwardingConfiguration.NONE : configuration,
+        isConfigurationKnown ? ForwardingConfiguration.NONE : configuration,
         newer,
         evacuations.since(knownRevision));
   }
 
   /**
-   * Returns this state after a complete one, a reading of the source or what a peer holds: what is
-   * newer is taken over, and targets that it does not list are gone, as are evacuations. A target
-   * that it holds as gone is not listed in it.
+   * Returns this state after a complete state has been read from the source or a peer. What is
+   * newer in the complete state is taken over. A target that it does not list, or holds as gone, is
+   * gone, and an evacuation that is not in force in it is lifted.
    *
-   * <p>What was known in an earlier era of the source than that of the reading stays: the source
-   * has come back from an older copy and may get it written again, see {@link #withoutUnconfirmed}.
+   * <p>What is known from an earlier era of the source than that of the complete state stays. The
+   * source was restored from an older copy, and the missing entries may be written to it again; see
+   * {@link #withoutUnconfirmed}.
    */
-  public FleetState replaceBy(FleetState reading) {
-    if (reading.revision < revision) {
-      // The reading is older than what we hold already; it must not take anything back.
-      return merge(reading);
+  public FleetState replaceBy(FleetState complete) {
+    if (complete.revision < revision) {
+      // The complete state is older than this one, and must not undo newer changes.
+      return merge(complete);
     }
     Map<String, TargetRecord> replaced = new HashMap<>(targets);
-    for (TargetRecord record : reading.targets.values()) {
-      boolean isForgotten = !record.isListed() && !targets.containsKey(record.id());
-      if (!isForgotten || isNews(record)) {
-        // Whatever its revision: a watch may have passed over a change whose history is gone.
+    for (TargetRecord record : complete.targets.values()) {
+      boolean isUnknownAndGone = !record.isListed() && !targets.containsKey(record.id());
+      if (!isUnknownAndGone || mayUpdate(record)) {
+        // Taken at any revision: a watch may have skipped a change that the source has dropped from
+        // its history.
         replaced.merge(record.id(), record, TargetRecord::merge);
       }
     }
     replaced.replaceAll(
-        (id, known) -> reading.isUnlisted(known) ? known.gone(reading.revision) : known);
+        (id, known) -> complete.isUnlisted(known) ? known.gone(complete.revision) : known);
     return new FleetState(
-        reading.revision,
-        configuration.merge(reading.configuration),
+        complete.revision,
+        configuration.merge(complete.configuration),
         replaced,
-        evacuations.replaceBy(reading.evacuations, reading.revision));
+        evacuations.replaceBy(complete.evacuations, complete.revision));
   }
 
-  /** Returns whether a target that another state lists has ended as of this one. */
+  /** Returns whether this complete state shows that a target of another state is gone. */
   private boolean isUnlisted(TargetRecord other) {
     TargetRecord known = targets.get(other.id());
-    // What this state knows from an earlier era only is no proof that the source lists it now.
+    // A record from an earlier era does not show that the source lists the target in this era.
     boolean listed = known != null && known.isListed() && !isUnconfirmed(known);
-    // The end of a start is noted anew: an earlier start may have been listed since under its id,
-    // and
-    // peers that know only that one have to learn that it has gone.
-    boolean mayHaveBeenListed =
+    // A start that is gone gets the newer revision too: an earlier start may have been listed under
+    // its id since, and a peer that holds only that record has to receive its end.
+    boolean mayBeGone =
         other.isListed()
             ? !Revision.isOfEarlierEra(other.revision(), revision)
             : other.startedAtMs() > 0;
-    return !listed && mayHaveBeenListed && other.revision() <= revision;
+    return !listed && mayBeGone && other.revision() <= revision;
   }
 
   /**
-   * Returns whether something is known from an earlier era only: a target that is listed, or an
-   * evacuation in force, that the source has not listed since it came back from an older copy.
+   * Returns whether a listed target or an evacuation in force is known only from an earlier era:
+   * the source has not listed it since it was restored from an older copy.
    */
   public boolean hasUnconfirmed() {
     for (TargetRecord target : targets.values()) {
@@ -205,8 +205,8 @@
   }
 
   /**
-   * Returns this state without what is known from an earlier era only: those targets are gone and
-   * those evacuations lifted, since nobody has written them again.
+   * Returns this state with unconfirmed targets gone and unconfirmed evacuations lifted, since they
+   * have not been written to the source again; see {@link #hasUnconfirmed}.
    */
   public FleetState withoutUnconfirmed() {
     Map<String, TargetRecord> confirmed = new HashMap<>(targets);
@@ -216,27 +216,27 @@
   }
 
   /**
-   * Returns this state after changes that the source has reported.
+   * Returns this state after changes that the source has reported in a response.
    *
-   * <p>This node may have got a newer state from a peer since it asked. An answer that leads up to
-   * an older revision than the state's is then too late, and of one that leads further only what
-   * lies above that revision is news. One that leads up to the same revision is taken: the source
-   * may report a change at a revision that it has named before.
+   * <p>This node may have taken a newer state from a peer since its request. A response with an
+   * older revision than this state's is stale and ignored. Of a response with a newer revision,
+   * only the changes above this state's revision are taken. A response with the same revision is
+   * taken in full, since the source may report a revision before the changes of that revision.
    */
   public FleetState apply(StateChanges changes) {
     if (changes.revision() < revision) {
       return this;
     }
-    boolean leadsFurther = changes.revision() > revision;
+    boolean isNewer = changes.revision() > revision;
     Map<String, TargetRecord> changed = new HashMap<>(targets);
     for (TargetRecord written : changes.written()) {
-      if (!leadsFurther || isNews(written)) {
-        // The answer may hold several records of one target, in any order.
+      if (!isNewer || mayUpdate(written)) {
+        // A response may hold several records of one target, in any order.
         changed.merge(written.id(), written, TargetRecord::merge);
       }
     }
     for (Map.Entry<String, Long> gone : changes.goneIds().entrySet()) {
-      // The record may be one of those that were written a moment earlier.
+      // The record may have been written by the same response.
       TargetRecord known = changed.get(gone.getKey());
       if (known != null && gone.getValue() > known.revision()) {
         changed.put(known.id(), known.gone(gone.getValue()));
@@ -248,18 +248,18 @@
         changes.revision(),
         next == null ? configuration : configuration.merge(next),
         changed,
-        evacuations.apply(leadsFurther ? reported.since(revision).all() : reported.all()));
+        evacuations.apply(isNewer ? reported.since(revision).all() : reported.all()));
   }
 
-  /** Returns this state with another copy of its configuration. */
+  /** Returns this state with another configuration. */
   public FleetState with(ForwardingConfiguration copy) {
     return new FleetState(revision, copy, targets, evacuations);
   }
 
-  /** Returns this state without some targets, which have been gone for long enough. */
-  public FleetState without(Collection<String> forgottenIds) {
+  /** Returns this state without the records of some targets that are gone. */
+  public FleetState without(Collection<String> evictedIds) {
     Map<String, TargetRecord> kept = new HashMap<>(targets);
-    kept.keySet().removeAll(forgottenIds);
+    kept.keySet().removeAll(evictedIds);
     return new FleetState(revision, configuration, kept, evacuations);
   }
 }
--- a/core/src/main/java/io/moorstage/core/state/ForwardingConfiguration.java
+++ b/core/src/main/java/io/moorstage/core/state/ForwardingConfiguration.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import javax.annotation.Nullable;
 
-/** An accepted configuration: routes, and what cold targets of services bear. Immutable. */
+/** An accepted configuration: routes, and the cold start limits of services. Immutable. */
 public final class ForwardingConfiguration {
-  /** The configuration before any was read. */
+  /** The empty configuration, of version 0, before any configuration is read. */
   public static final ForwardingConfiguration NONE =
       new ForwardingConfiguration(0, 0, List.of(), Map.of());
 
@@ -23,10 +23,10 @@
   /**
    * Creates a configuration.
    *
-   * @param version rises with each accepted configuration; 0 for none
-   * @param idleTimeoutMs after how long a resting flow may be forgotten, in milliseconds
-   * @param routes the routes; of two with the same address the later one counts
-   * @param coldStartsByService what cold targets of services bear, where that is limited
+   * @param version the version, which increases with each accepted configuration; 0 for none
+   * @param idleTimeoutMs how long a flow may be idle before it expires, in milliseconds
+   * @param routes the routes; of two with the same address and port, the later one is used
+   * @param coldStartsByService the cold start limits of services that have one
    */
   public ForwardingConfiguration(
       long version,
@@ -43,12 +43,13 @@
     }
   }
 
-  /** A service that a route has at weight 0. */
+  /** A service that a route has at weight 0, so that it gets no new flow but may hold open ones. */
   public record FormerService(long routeKey, String service) {}
 
   /**
-   * Returns the newer of this configuration and another one, with the services that its routes have
-   * in the older one. Of one version, copies differ in such services only.
+   * Returns the newer of this configuration and another one, whose routes also keep the services
+   * that they have in the older one, at weight 0. Two copies of one version differ only in such
+   * former services.
    */
   ForwardingConfiguration merge(ForwardingConfiguration other) {
     if (other.version < version) {
@@ -61,14 +62,14 @@
 
   private ForwardingConfiguration withFormerServices(ForwardingConfiguration other) {
     List<ForwardingRoute> merged = new ArrayList<>(routes.size());
-    boolean changed = false;
+    boolean isChanged = false;
     for (ForwardingRoute route : routes) {
       ForwardingRoute known = other.routesByKey.get(route.key());
-      ForwardingRoute next = known == null ? route : route.withFormerServices(known.services());
-      changed |= next != route;
-      merged.add(next);
+      ForwardingRoute extended = known == null ? route : route.withFormerServices(known.services());
+      isChanged |= extended != route;
+      merged.add(extended);
     }
-    return changed ? with(merged) : this;
+    return isChanged ? with(merged) : this;
   }
 
   /** Returns the services that routes have at weight 0. */
@@ -84,13 +85,13 @@
     return former;
   }
 
-  /** Returns this configuration without some services that routes have at weight 0. */
-  public ForwardingConfiguration withoutFormerServices(Set<FormerService> forgotten) {
+  /** Returns this configuration without expired services that routes have at weight 0. */
+  public ForwardingConfiguration withoutFormerServices(Set<FormerService> expired) {
     List<ForwardingRoute> kept = new ArrayList<>(routes.size());
     for (ForwardingRoute route : routes) {
       kept.add(
           route.withoutFormerServices(
-              service -> forgotten.contains(new FormerService(route.key(), service))));
+              service -> expired.contains(new FormerService(route.key(), service))));
     }
     return with(kept);
   }
@@ -99,27 +100,26 @@
     return new ForwardingConfiguration(version, idleTimeoutMs, otherRoutes, coldStartsByService);
   }
 
-  /** Returns the version, 0 if none was read. */
+  /** Returns the version, or 0 if no configuration was read. */
   public long version() {
     return version;
   }
 
-  /** Returns after how long a resting flow may be forgotten, in milliseconds. */
+  /** Returns how long a flow may be idle before it expires, in milliseconds. */
   public int idleTimeoutMs() {
     return idleTimeoutMs;
   }
 
-  /** Returns all routes. */
   public List<ForwardingRoute> routes() {
     return routes;
   }
 
-  /** Returns what cold targets of services bear, where that is limited. */
+  /** Returns the cold start limits of the services that have one. */
   public Map<String, ColdStart> coldStartsByService() {
     return coldStartsByService;
   }
 
-  /** Returns what a service's cold targets bear. */
+  /** Returns the cold start limit of a service, or {@link ColdStart#UNLIMITED}. */
   public ColdStart coldStartOf(String service) {
     return coldStartsByService.getOrDefault(service, ColdStart.UNLIMITED);
   }
--- a/core/src/main/java/io/moorstage/core/state/ForwardingRoute.java
+++ b/core/src/main/java/io/moorstage/core/state/ForwardingRoute.java
@@ -7,20 +7,20 @@
 import javax.annotation.Nullable;
 
 /**
- * Where new flows to one service address go.
+ * The route of new flows to one service address and port.
  *
  * @param address IPv4 address that clients send to
  * @param port port that clients send to
- * @param timeoutMs how long a request of the route may take, in milliseconds; 0 if not known
- * @param repeatable whether its requests may be repeated
- * @param services the services that share the route's new flows, at least one, and those that had a
- *     share before, at weight 0
+ * @param timeoutMs how long a request of the route may take, in milliseconds; 0 if unknown
+ * @param repeatable whether requests of the route may be sent more than once
+ * @param services the services that share the route's new flows, at least one, and former ones at
+ *     weight 0, whose targets may still hold flows
  */
 public record ForwardingRoute(
     int address, int port, int timeoutMs, boolean repeatable, List<WeightedService> services) {
 
-  /** Returns whether a service takes a share of the route's flows, or did before. */
-  public boolean sharesFlowsWith(String service) {
+  /** Returns whether a service gets new flows of the route, or got some before. */
+  public boolean hasService(String service) {
     for (WeightedService part : services) {
       if (part.service().equals(service)) {
         return true;
@@ -30,13 +30,13 @@
   }
 
   /**
-   * Returns this route with the services of another copy of it that this one lacks, at weight 0: a
-   * flow that one of them got before stays there until it ends.
+   * Returns this route with the services that only another copy of it has, at weight 0. A flow that
+   * was opened at such a service stays there until it ends.
    */
   ForwardingRoute withFormerServices(List<WeightedService> others) {
     List<WeightedService> former = new ArrayList<>(0);
     for (WeightedService other : others) {
-      if (!sharesFlowsWith(other.service())) {
+      if (!hasService(other.service())) {
         former.add(new WeightedService(other.service(), 0));
       }
     }
@@ -44,25 +44,29 @@
       return this;
     }
     List<WeightedService> all = new ArrayList<>(former.size() + services.size());
-    all.addAll(servicesOfSomeWeight());
+    all.addAll(servicesWithEffectiveWeight());
     all.addAll(former);
     return with(all);
   }
 
-  // A route's only service takes all flows whatever its weight.
-  private List<WeightedService> servicesOfSomeWeight() {
+  // The only service of a route gets all new flows, even at weight 0. It gets weight 1 here so that
+  // it still does beside former services.
+  private List<WeightedService> servicesWithEffectiveWeight() {
     WeightedService only = services.get(0);
-    boolean isIdleAlone = services.size() == 1 && only.weight() == 0;
-    return isIdleAlone ? List.of(new WeightedService(only.service(), 1)) : services;
+    boolean isOnlyAndWeightless = services.size() == 1 && only.weight() == 0;
+    return isOnlyAndWeightless ? List.of(new WeightedService(only.service(), 1)) : services;
   }
 
-  /** Returns this route without some services of weight 0; one without any weight stays whole. */
-  ForwardingRoute withoutFormerServices(Predicate<String> isForgotten) {
+  /**
+   * Returns this route without expired services of weight 0. A route whose services all have weight
+   * 0 stays unchanged.
+   */
+  ForwardingRoute withoutFormerServices(Predicate<String> isExpired) {
     List<WeightedService> kept = new ArrayList<>(services.size());
     boolean hasWeight = false;
     for (WeightedService part : services) {
       hasWeight |= part.weight() > 0;
-      if (part.weight() > 0 || !isForgotten.test(part.service())) {
+      if (part.weight() > 0 || !isExpired.test(part.service())) {
         kept.add(part);
       }
     }
@@ -73,15 +77,16 @@
     return new ForwardingRoute(address, port, timeoutMs, repeatable, otherServices);
   }
 
-  /** Returns the key under which a flow finds its route. */
+  /** Returns the key of this route, which equals {@link FlowId#service} of its flows. */
   public long key() {
     return FlowId.pack(address, port);
   }
 
   /**
-   * Returns the service of a new flow; equal on all nodes, in proportion to the weights.
+   * Returns the service of a new flow. Flows are distributed in proportion to the weights, and all
+   * nodes with the same route return the same service.
    *
-   * @return the service's name, or null if all weights are 0
+   * @return the service's name, or null if the route has several services, all of weight 0
    */
   @Nullable
   public String serviceOf(FlowId flow) {
@@ -95,7 +100,9 @@
     if (total == 0) {
       return null;
     }
-    // A remainder of the mixed hash; its bias is below 2^-32 for any weight that fits an int.
+    // The hash is mixed, so the remainder is uniform with a bias below 2^-32 for a total that fits
+    // an
+    // int.
     long point = Long.remainderUnsigned(flow.hash(), total);
     for (WeightedService part : services) {
       point -= part.weight();
--- a/core/src/main/java/io/moorstage/core/state/StateChanges.java
+++ b/core/src/main/java/io/moorstage/core/state/StateChanges.java
@@ -5,11 +5,11 @@
 import javax.annotation.Nullable;
 
 /**
- * What has changed at the configuration source since an earlier revision.
+ * The changes at the configuration source since an earlier revision.
  *
- * @param revision the source's {@link Revision} up to which these changes lead
+ * @param revision the source's {@link Revision} after these changes
  * @param written targets that are new or have changed
- * @param goneIds targets that are no longer listed, with the revision at which they went
+ * @param goneIds ids of targets that are no longer listed, each with the revision of its removal
  * @param configuration a newer configuration, or null if it has not changed
  * @param evacuations evacuations of zones that were set or lifted
  */
--- a/core/src/main/java/io/moorstage/core/state/TargetPhase.java
+++ b/core/src/main/java/io/moorstage/core/state/TargetPhase.java
@@ -1,11 +1,11 @@
 package io.moorstage.core.state;
 
-/** How far a target is in its life, as the configuration source lists it. */
+/** The phase in the life cycle of a target, as listed by the configuration source. */
 public enum TargetPhase {
-  /** Takes new flows. */
+  /** Accepts new flows. */
   READY,
-  /** Takes no new flow and serves those that it holds. */
+  /** Accepts no new flow, but serves the flows that it holds. */
   DRAINING,
-  /** No longer listed; may still serve the flows that it holds. */
+  /** No longer listed, but may still serve the flows that it holds. */
   GONE
 }
--- a/core/src/main/java/io/moorstage/core/state/TargetRecord.java
+++ b/core/src/main/java/io/moorstage/core/state/TargetRecord.java
@@ -5,18 +5,20 @@
 /**
  * One start of a target, as the configuration source lists it.
  *
- * @param id names the target; together with its start, where the source reports it, this start
+ * @param id id of the target; identifies this start together with {@code startedAtMs} if that is
+ *     reported
  * @param startedAtMs when this start began, in Unix milliseconds; 0 if the source does not report
- *     it, and then another start has another id
+ *     it, in which case each start has its own id
  * @param service name of the service
- * @param address IPv4 address of the machine, where the target's agent runs too
+ * @param address IPv4 address of the machine that the target and its agent run on
  * @param zone name of the zone
- * @param capacity requests that it works on at a time, 1 or more
- * @param phase how far it is in its life; never ready once it is leaving
- * @param leaving whether this start drains, or did when it was listed last; it can't be undone
- * @param slowStartMs for how long after its start it is slow, in milliseconds
- * @param createdRevision the source's {@link Revision} at which it was listed first, or again after
- *     its entry had lapsed; orders the starts of targets at one address
+ * @param capacity number of requests that the target processes at a time, 1 or more
+ * @param phase phase in the target's life cycle; never ready if {@code leaving} is set
+ * @param leaving whether this start is draining, or was when it was listed last; a start that
+ *     drains never becomes ready again
+ * @param slowStartMs how long the target is slow after its start, in milliseconds
+ * @param createdRevision the source's {@link Revision} at which the target was listed first, or
+ *     again after its entry had expired; orders the starts of targets at one address
  * @param revision the source's {@link Revision} of this record
  */
 public record TargetRecord(
@@ -32,7 +34,7 @@
     long createdRevision,
     long revision) {
 
-  /** Creates a record; that of a leaving start is never ready. */
+  /** Creates a record; a ready phase becomes draining if the start is leaving. */
   public TargetRecord {
     leaving |= phase == TargetPhase.DRAINING;
     if (leaving && phase == TargetPhase.READY) {
@@ -65,13 +67,13 @@
         revision);
   }
 
-  /** Returns a number that names this start of the target, never 0. */
+  /** Returns a number that identifies this start of the target; never 0. */
   public long startNumber() {
     return FlowId.mix(id.hashCode() ^ FlowId.mix(startedAtMs)) | 1;
   }
 
   /**
-   * Returns whether this start began after another one; never where the source does not report it.
+   * Returns whether this start began after another one; false if the source does not report starts.
    */
   public boolean startedAfter(TargetRecord other) {
     return other.startedAtMs > 0 && startedAtMs > other.startedAtMs;
@@ -82,7 +84,7 @@
     return phase != TargetPhase.GONE;
   }
 
-  /** Returns this record as of a later revision at which the source no longer lists it. */
+  /** Returns this record at a later revision, at which the source no longer lists the target. */
   public TargetRecord gone(long atRevision) {
     return with(TargetPhase.GONE, leaving, atRevision);
   }
@@ -103,12 +105,14 @@
   }
 
   /**
-   * Returns what is known from this record and another one of the same id: that of the later start,
-   * or of one start the newer.
+   * Returns the combination of this record and another one of the same id: the record of the later
+   * start or, for the same start, the one with the higher revision.
    *
-   * <p>A start that drains does so until it ends. A source that has come back from an older copy
-   * lists it as ready until it has written again, and new flows would go to it meanwhile. Where the
-   * source does not report starts, a newer record of the same era may be another start's.
+   * <p>A start that drains does so until it ends, so its newer record stays draining even if it is
+   * listed as ready. A source that was restored from an older copy lists the start as ready until
+   * the target has written its entry again, and the start would get new flows meanwhile. If the
+   * source does not report starts, this holds only across eras, since a newer record of the same
+   * era may belong to another start.
    */
   TargetRecord merge(TargetRecord other) {
     if (startedAfter(other)) {
@@ -120,21 +124,21 @@
     boolean otherIsNewer = other.revision > revision;
     TargetRecord newer = otherIsNewer ? other : this;
     TargetRecord older = otherIsNewer ? this : other;
-    boolean isOneStart =
+    boolean isSameStart =
         startedAtMs > 0 && other.startedAtMs > 0
             || Revision.isOfEarlierEra(older.revision, newer.revision);
-    boolean drainsOn = isOneStart && older.leaving && !newer.leaving;
-    return drainsOn ? newer.with(newer.phase, true, newer.revision) : newer;
+    boolean staysDraining = isSameStart && older.leaving && !newer.leaving;
+    return staysDraining ? newer.with(newer.phase, true, newer.revision) : newer;
   }
 
   /**
-   * Returns whether this target has taken the address of another one, of whatever service.
+   * Returns whether this target has replaced another one, of any service, at the same address.
    *
-   * <p>The later listing decides, not the later change: one machine holds one target at a time, so
-   * the other one had ended when this one was listed. Its own entry may lapse only afterwards,
-   * which makes it the one that changed last. Listings of two eras can't be compared: a source that
-   * has come back from an older copy lists again what has ended since. There the later start
-   * decides where the source reports it.
+   * <p>The revision of the first listing decides, not that of the last change. A machine runs one
+   * target at a time, so the other target had ended when this one was listed. The entry of the
+   * other target may expire only afterwards, which makes it the record that changed last. Listings
+   * of two eras cannot be compared, since a source that was restored from an older copy lists
+   * targets again that have ended. The later start decides then, if the source reports starts.
    */
   public boolean supersedes(TargetRecord other) {
     if (address != other.address || id.equals(other.id)) {
--- a/core/src/main/java/io/moorstage/core/state/ZoneEvacuation.java
+++ b/core/src/main/java/io/moorstage/core/state/ZoneEvacuation.java
@@ -1,7 +1,7 @@
 package io.moorstage.core.state;
 
 /**
- * What the configuration source lists of the evacuation of a zone: while it is in force, the zone's
+ * The evacuation of a zone, as listed by the configuration source. While it is in force, the zone's
  * targets get no new flow.
  *
  * @param zone name of the zone
--- a/core/src/main/java/io/moorstage/core/state/package-info.java
+++ b/core/src/main/java/io/moorstage/core/state/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The state that all nodes share copies of: the configuration, the targets and the evacuations of
- * zones, each as of a revision of the source.
+ * The state that is replicated to all nodes: the configuration, the targets and the evacuations of
+ * zones, each at a revision of the source.
  *
- * <p>A state only goes forward, record by record, whoever reports it: two nodes that have exchanged
- * all they know agree. The types are immutable; who holds the current state is the daemon.
+ * <p>Each record of a state is replaced only by a newer one, whether the source or a peer reports
+ * it, so two nodes converge once they have exchanged their states. The types are immutable; the
+ * daemon holds the current state.
  */
 package io.moorstage.core.state;
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
@@ -143,7 +143,7 @@
     @Override
     public boolean mayTake(int address, String service) {
       for (ForwardingRoute route : deployment.configuration().routes()) {
-        if (route.address() == address && route.sharesFlowsWith(service)) {
+        if (route.address() == address && route.hasService(service)) {
           return true;
         }
       }
--- a/lab/src/main/java/io/moorstage/lab/demo/Deployment.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/Deployment.java
@@ -71,7 +71,7 @@
   private static PolicyTarget leavingTarget(
       List<PolicyTarget> targets, List<ForwardingRoute> routes) throws DeploymentException {
     for (PolicyTarget target : targets) {
-      boolean loaded = routes.stream().anyMatch(route -> route.sharesFlowsWith(target.service()));
+      boolean loaded = routes.stream().anyMatch(route -> route.hasService(target.service()));
       if (loaded && countOf(target.service(), targets) > 1) {
         return target;
       }
--- a/policy/src/test/java/io/moorstage/policy/ExamplePoliciesTest.java
+++ b/policy/src/test/java/io/moorstage/policy/ExamplePoliciesTest.java
@@ -41,10 +41,10 @@
     ForwardingRoute roast = compile("tunis.policy").configuration().routes().get(0);
     ForwardingRoute tables = compile("perth.policy").configuration().routes().get(0);
 
-    assertThat(roast.sharesFlowsWith("roast")).isTrue();
+    assertThat(roast.hasService("roast")).isTrue();
     assertThat(roast.repeatable()).isFalse();
     assertThat(roast.timeoutMs()).isEqualTo(5000);
-    assertThat(tables.sharesFlowsWith("tables")).isTrue();
+    assertThat(tables.hasService("tables")).isTrue();
     assertThat(tables.repeatable()).isFalse();
     assertThat(tables.timeoutMs()).isEqualTo(3000);
   }
