--- a/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
@@ -58,7 +58,7 @@
    * Creates the rule of one balancer.
    *
    * @param zone the balancer's zone
-   * @param policy tells which mechanisms the choice uses
+   * @param policy the mechanisms that the choice may use
    */
   TargetChoice(String zone, ForwardingPolicy policy) {
     this.zone = zone;
--- a/core/src/main/java/io/moorstage/core/state/FleetState.java
+++ b/core/src/main/java/io/moorstage/core/state/FleetState.java
@@ -114,7 +114,7 @@
       return true;
     }
     TargetRecord known = targets.get(record.id());
-    // A later start is taken at any revision. A record of an earlier era is taken since it may tell
+    // A later start is taken at any revision. A record of an earlier era is taken since it may show
     // that a start is draining, which lasts until the start ends.
     return known != null
         && (record.startedAfter(known) || Revision.isOfEarlierEra(record.revision(), revision));
--- a/core/src/main/java/io/moorstage/core/state/ForwardingRoute.java
+++ b/core/src/main/java/io/moorstage/core/state/ForwardingRoute.java
@@ -101,8 +101,7 @@
       return null;
     }
     // The hash is mixed, so the remainder is uniform with a bias below 2^-32 for a total that fits
-    // an
-    // int.
+    // an int.
     long point = Long.remainderUnsigned(flow.hash(), total);
     for (WeightedService part : services) {
       point -= part.weight();
--- a/core/src/test/java/io/moorstage/core/placement/TargetPoolTest.java
+++ b/core/src/test/java/io/moorstage/core/placement/TargetPoolTest.java
@@ -18,8 +18,8 @@
   private static final int CAPACITY = 2;
   private static final int FLOWS = 400;
 
-  private final List<TargetSlot> near = new ArrayList<>();
-  private final List<TargetSlot> far = new ArrayList<>();
+  private final List<TargetSlot> ownZoneTargets = new ArrayList<>();
+  private final List<TargetSlot> otherZoneTargets = new ArrayList<>();
   private long nowMs = 10_000;
 
   private static TargetSlot slot(int address, String zone) {
@@ -30,72 +30,73 @@
         0);
   }
 
-  private TargetPool pool(int nearTargets, int farTargets) {
-    for (int i = 0; i < nearTargets; i++) {
-      near.add(slot(100 + i, ZONE));
+  private TargetPool pool(int ownZoneCount, int otherZoneCount) {
+    for (int i = 0; i < ownZoneCount; i++) {
+      ownZoneTargets.add(slot(100 + i, ZONE));
     }
-    for (int i = 0; i < farTargets; i++) {
-      far.add(slot(200 + i, OTHER_ZONE));
+    for (int i = 0; i < otherZoneCount; i++) {
+      otherZoneTargets.add(slot(200 + i, OTHER_ZONE));
     }
-    List<TargetSlot> all = new ArrayList<>(near);
-    all.addAll(far);
+    List<TargetSlot> all = new ArrayList<>(ownZoneTargets);
+    all.addAll(otherZoneTargets);
     return new TargetPool(Fleet.SERVICE, ZONE, all, Fleet.POLICY);
   }
 
-  private void report(List<TargetSlot> slots, int busyFlows) {
+  private void reportBusyFlows(List<TargetSlot> slots, int busyFlows) {
     for (TargetSlot slot : slots) {
       slot.recordBusyFlows(busyFlows, nowMs);
     }
   }
 
-  private Map<String, Integer> chosenByZone(TargetPool pool) {
-    Map<String, Integer> chosen = new HashMap<>();
+  private Map<String, Integer> countChoicesByZone(TargetPool pool) {
+    Map<String, Integer> counts = new HashMap<>();
     for (int port = 1; port <= FLOWS; port++) {
       TargetSlot slot = pool.choose(Fleet.flow(port), List.of(), nowMs);
-      chosen.merge(slot.record().zone(), 1, Integer::sum);
+      counts.merge(slot.record().zone(), 1, Integer::sum);
     }
-    return chosen;
+    return counts;
   }
 
   @Test
   void newFlowsStayInTheirZoneWhileItsTargetsHaveRoom() {
     TargetPool pool = pool(3, 9);
-    report(near, 0);
-    report(far, 0);
-    assertThat(chosenByZone(pool)).containsExactly(ZONE, FLOWS);
+    reportBusyFlows(ownZoneTargets, 0);
+    reportBusyFlows(otherZoneTargets, 0);
+    assertThat(countChoicesByZone(pool)).containsExactly(ZONE, FLOWS);
   }
 
   @Test
-  void newFlowsGoElsewhereWhenTheTargetsOfTheirZoneAreBusy() {
+  void newFlowsGoToOtherZonesWhenTheTargetsOfTheirZoneAreBusy() {
     TargetPool pool = pool(3, 9);
-    report(near, CAPACITY);
-    report(far, 0);
-    assertThat(chosenByZone(pool).get(OTHER_ZONE)).isAtLeast(FLOWS * 9 / 10);
+    reportBusyFlows(ownZoneTargets, CAPACITY);
+    reportBusyFlows(otherZoneTargets, 0);
+    assertThat(countChoicesByZone(pool).get(OTHER_ZONE)).isAtLeast(FLOWS * 9 / 10);
   }
 
   @Test
   void newFlowsAreSpreadOverAllZonesWhenTheTargetsOfTheirOwnAreBusyMostOfTheTime() {
     TargetPool pool = pool(3, 9);
     for (int i = 0; i < 50; i++) {
-      report(near, i % 4 == 0 ? 0 : CAPACITY);
+      reportBusyFlows(ownZoneTargets, i % 4 == 0 ? 0 : CAPACITY);
       nowMs += 100;
     }
-    report(near, 0);
-    report(far, 0);
-    assertThat(chosenByZone(pool).get(OTHER_ZONE)).isAtLeast(FLOWS / 2);
+    reportBusyFlows(ownZoneTargets, 0);
+    reportBusyFlows(otherZoneTargets, 0);
+    assertThat(countChoicesByZone(pool).get(OTHER_ZONE)).isAtLeast(FLOWS / 2);
   }
 
   @Test
-  void zoneWithoutTargetsUsesThoseOfOthers() {
-    assertThat(chosenByZone(pool(0, 4))).containsExactly(OTHER_ZONE, FLOWS);
+  void newFlowsOfAZoneWithoutTargetsGoToOtherZones() {
+    assertThat(countChoicesByZone(pool(0, 4))).containsExactly(OTHER_ZONE, FLOWS);
   }
 
+  // Otherwise a balancer that has lost its flow table queries more agents than needed.
   @Test
-  void targetOfANewFlowIsAmongTheFirstFourThatAreAskedForIt() {
+  void targetOfANewFlowIsAmongTheFirstFourThatASearchQueries() {
     TargetPool pool = pool(5, 20);
     for (int port = 1; port <= FLOWS; port++) {
-      report(near, port % 3);
-      report(far, port % 2);
+      reportBusyFlows(ownZoneTargets, port % 3);
+      reportBusyFlows(otherZoneTargets, port % 2);
       FlowId flow = Fleet.flow(port);
       TargetSlot chosen = pool.choose(flow, List.of(), nowMs);
       assertThat(
--- a/core/src/test/java/io/moorstage/core/placement/TargetPoolsTest.java
+++ b/core/src/test/java/io/moorstage/core/placement/TargetPoolsTest.java
@@ -31,16 +31,17 @@
   }
 
   @Test
-  void targetKeepsItsSlotWhileItIsOneStart() {
-    TargetPools first = TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(stateWith(7, 1), 0);
-    TargetPools next = first.update(stateWith(7, 2), 0);
-    assertThat(slotOf(next)).isSameInstanceAs(slotOf(first));
+  void targetKeepsItsSlotUntilItRestarts() {
+    TargetPools initial = TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(stateWith(7, 1), 0);
+    TargetPools updated = initial.update(stateWith(7, 2), 0);
+    assertThat(slotOf(updated)).isSameInstanceAs(slotOf(initial));
   }
 
+  // A new start must not be suspect or ejected for failures of the previous one.
   @Test
-  void targetThatHasStartedAgainUnderItsIdIsNotAvoidedForWhatTheStartBeforeDid() {
-    TargetPools first = TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(stateWith(7, 1), 0);
-    TargetPools next = first.update(stateWith(8, 2), 0);
-    assertThat(slotOf(next)).isNotSameInstanceAs(slotOf(first));
+  void targetThatRestartsUnderTheSameIdGetsANewSlot() {
+    TargetPools initial = TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(stateWith(7, 1), 0);
+    TargetPools updated = initial.update(stateWith(8, 2), 0);
+    assertThat(slotOf(updated)).isNotSameInstanceAs(slotOf(initial));
   }
 }
--- a/core/src/test/java/io/moorstage/core/state/FleetStatePropertiesTest.java
+++ b/core/src/test/java/io/moorstage/core/state/FleetStatePropertiesTest.java
@@ -12,7 +12,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** States of nodes that learn of the same history by different ways. */
+/**
+ * Checks that nodes which receive the same history of the source by complete states, by changes or
+ * from peers agree on its targets and evacuations.
+ */
 class FleetStatePropertiesTest {
   private static final int ADDRESSES = 3;
   private static final int STEPS = 40;
@@ -20,75 +23,79 @@
   private static final String[] ZONES = {"lac", "ariana"};
   private static final String[] SERVICES = {"tables", "bundles"};
 
-  /** What a source holds and has held: targets that start, drain, die, lapse and come back. */
+  /**
+   * The entries of a source and their changes. Targets start, drain, end without removing their
+   * entry, expire and are listed again.
+   */
   private static final class History {
     private final Map<String, TargetRecord> listed = new HashMap<>();
-    private final Map<Integer, String> livingAt = new HashMap<>();
+    private final Map<Integer, String> runningByAddress = new HashMap<>();
     private final Map<String, Long> evacuated = new HashMap<>();
-    private final List<StateChanges> events = new ArrayList<>();
+    private final List<StateChanges> changes = new ArrayList<>();
     private long revision;
-    private int starts;
+    private int startCount;
 
     void step(Random random) {
       if (random.nextInt(5) == 0) {
-        evacuateOrLift(ZONES[random.nextInt(ZONES.length)]);
+        toggleEvacuation(ZONES[random.nextInt(ZONES.length)]);
         return;
       }
-      stepOfTargets(random);
+      changeTarget(random);
     }
 
-    private void evacuateOrLift(String zone) {
+    private void toggleEvacuation(String zone) {
       revision++;
-      boolean lifts = evacuated.remove(zone) != null;
-      if (!lifts) {
+      boolean isLifted = evacuated.remove(zone) != null;
+      if (!isLifted) {
         evacuated.put(zone, revision);
       }
-      ZoneEvacuation change = new ZoneEvacuation(zone, !lifts, revision);
-      events.add(new StateChanges(revision, List.of(), Map.of(), null, List.of(change)));
+      ZoneEvacuation change = new ZoneEvacuation(zone, !isLifted, revision);
+      changes.add(new StateChanges(revision, List.of(), Map.of(), null, List.of(change)));
     }
 
-    private void stepOfTargets(Random random) {
+    private void changeTarget(Random random) {
       int address = random.nextInt(ADDRESSES);
-      String living = livingAt.get(address);
-      if (living == null || random.nextInt(4) == 0) {
-        // The one before may have died without a word; its entry stays until it lapses.
-        String id = "t" + starts++;
-        livingAt.put(address, id);
+      String running = runningByAddress.get(address);
+      if (running == null || random.nextInt(4) == 0) {
+        // The previous target may have ended without removing its entry, which stays until it
+        // expires.
+        String id = "t" + startCount++;
+        runningByAddress.put(address, id);
         String service = SERVICES[random.nextInt(SERVICES.length)];
         write(Fleet.listed(id, service, address, revision + 1));
         return;
       }
       switch (random.nextInt(5)) {
         case 0:
-          lapseOfTheDead(address, living);
+          expireEndedTarget(address, running);
           break;
         case 1:
-          remove(living);
+          remove(running);
           break;
         case 2:
-          drain(living);
+          drain(running);
           break;
         default:
-          comeBack(living, address);
+          listAgain(running, address);
       }
     }
 
     private void write(TargetRecord record) {
       revision++;
       listed.put(record.id(), record);
-      events.add(new StateChanges(revision, List.of(record), Map.of(), null, List.of()));
+      changes.add(new StateChanges(revision, List.of(record), Map.of(), null, List.of()));
     }
 
     private void remove(String id) {
       if (listed.remove(id) != null) {
         revision++;
-        events.add(new StateChanges(revision, List.of(), Map.of(id, revision), null, List.of()));
+        changes.add(new StateChanges(revision, List.of(), Map.of(id, revision), null, List.of()));
       }
     }
 
-    private void lapseOfTheDead(int address, String living) {
+    private void expireEndedTarget(int address, String running) {
       for (TargetRecord record : List.copyOf(listed.values())) {
-        if (record.address() == address && !record.id().equals(living)) {
+        if (record.address() == address && !record.id().equals(running)) {
           remove(record.id());
           return;
         }
@@ -112,33 +119,34 @@
       }
     }
 
-    private void comeBack(String id, int address) {
+    private void listAgain(String id, int address) {
       if (!listed.containsKey(id)) {
         write(Fleet.listed(id, Fleet.SERVICE, address, revision + 1));
       }
     }
 
-    FleetState reading() {
+    FleetState completeState() {
       List<ZoneEvacuation> inForce = new ArrayList<>();
-      evacuated.forEach((zone, since) -> inForce.add(new ZoneEvacuation(zone, true, since)));
+      evacuated.forEach((zone, setAt) -> inForce.add(new ZoneEvacuation(zone, true, setAt)));
       return FleetState.of(
           revision, ForwardingConfiguration.NONE, listed.values(), Evacuations.of(inForce));
     }
 
-    List<StateChanges> after(long known) {
-      return events.subList((int) known, events.size());
+    List<StateChanges> after(long knownRevision) {
+      return changes.subList((int) knownRevision, changes.size());
     }
   }
 
-  private static FleetState learn(FleetState own, History history, FleetState peer, Random random) {
+  private static FleetState update(
+      FleetState own, History history, FleetState peer, Random random) {
     FleetState newer = own;
     switch (random.nextInt(5)) {
       case 0:
-        return newer.replaceBy(history.reading());
+        return newer.replaceBy(history.completeState());
       case 1:
         return newer.merge(peer);
       case 2:
-        // What a peer knows is complete as of its revision, as a reading is.
+        // The state of a peer is complete up to its revision, as one read from the source is.
         return newer.replaceBy(peer);
       case 3:
         long version = newer.configuration().version();
@@ -152,7 +160,7 @@
   }
 
   @Property(seed = "20261202", tries = 500)
-  void livingListedTargetIsNeverHiddenHoweverANodeLearnsOfIt(@ForAll long seed) {
+  void runningListedTargetIsNeverHiddenHoweverANodeIsUpdated(@ForAll long seed) {
     Random random = new Random(seed);
     History history = new History();
     List<FleetState> nodes = new ArrayList<>();
@@ -164,18 +172,18 @@
       int node = random.nextInt(NODES);
       FleetState peer = nodes.get(random.nextInt(NODES));
       FleetState before = nodes.get(node);
-      FleetState after = learn(before, history, peer, random);
+      FleetState after = update(before, history, peer, random);
       assertThat(after.revision()).isAtLeast(before.revision());
       nodes.set(node, after);
-      assertShowsLiving(history, after);
+      assertShowsRunningTargets(history, after);
     }
   }
 
-  private static void assertShowsLiving(History history, FleetState state) {
+  private static void assertShowsRunningTargets(History history, FleetState state) {
     if (state.revision() < history.revision) {
       return;
     }
-    for (String id : history.livingAt.values()) {
+    for (String id : history.runningByAddress.values()) {
       TargetRecord listed = history.listed.get(id);
       if (listed != null) {
         assertWithMessage("at %s", listed.address())
@@ -186,73 +194,77 @@
   }
 
   @Property(seed = "20261202", tries = 500)
-  void nodesThatKnowTheNewestRevisionShowTheSameLivingTargets(@ForAll long seed) {
+  void nodesAtTheNewestRevisionShowTheSameRunningTargets(@ForAll long seed) {
     Random random = new Random(seed);
     History history = new History();
-    FleetState byEvents = FleetState.EMPTY;
+    FleetState byChanges = FleetState.EMPTY;
     FleetState mixed = FleetState.EMPTY;
     for (int step = 0; step < STEPS; step++) {
       history.step(random);
-      for (StateChanges changes : history.after(byEvents.revision())) {
-        byEvents = byEvents.apply(changes);
+      for (StateChanges changes : history.after(byChanges.revision())) {
+        byChanges = byChanges.apply(changes);
       }
       if (random.nextInt(3) == 0) {
-        mixed = learn(mixed, history, byEvents, random);
+        mixed = update(mixed, history, byChanges, random);
       }
     }
-    mixed = mixed.replaceBy(history.reading());
-    assertShowsLiving(history, mixed);
-    assertShowsLiving(history, byEvents);
+    mixed = mixed.replaceBy(history.completeState());
+    assertShowsRunningTargets(history, mixed);
+    assertShowsRunningTargets(history, byChanges);
     assertThat(mixed.evacuations().zones()).isEqualTo(history.evacuated.keySet());
-    assertThat(byEvents.evacuations().zones()).isEqualTo(history.evacuated.keySet());
+    assertThat(byChanges.evacuations().zones()).isEqualTo(history.evacuated.keySet());
   }
 
   @Property(seed = "20261202", tries = 500)
-  void nodeThatKnowsTheNewestRevisionKnowsWhichZonesAreEvacuated(@ForAll long seed) {
+  void nodeAtTheNewestRevisionHasTheEvacuatedZonesOfTheSource(@ForAll long seed) {
     Random random = new Random(seed);
     History history = new History();
-    FleetState byEvents = FleetState.EMPTY;
+    FleetState byChanges = FleetState.EMPTY;
     FleetState other = FleetState.EMPTY;
     for (int step = 0; step < STEPS; step++) {
       history.step(random);
-      for (StateChanges changes : history.after(byEvents.revision())) {
-        byEvents = byEvents.apply(changes);
+      for (StateChanges changes : history.after(byChanges.revision())) {
+        byChanges = byChanges.apply(changes);
       }
       FleetState stale = other;
       if (random.nextInt(3) == 0) {
-        other = random.nextBoolean() ? other.merge(byEvents) : other.replaceBy(history.reading());
+        other =
+            random.nextBoolean()
+                ? other.merge(byChanges)
+                : other.replaceBy(history.completeState());
       }
-      assertKnowsEvacuations(history, other);
-      // What is older neither lifts an evacuation nor sets it again.
-      assertKnowsEvacuations(history, byEvents.merge(stale));
-      assertKnowsEvacuations(history, byEvents.replaceBy(stale));
+      assertHasEvacuations(history, other);
+      // A stale state neither lifts an evacuation nor sets it again.
+      assertHasEvacuations(history, byChanges.merge(stale));
+      assertHasEvacuations(history, byChanges.replaceBy(stale));
     }
   }
 
-  private static void assertKnowsEvacuations(History history, FleetState state) {
+  private static void assertHasEvacuations(History history, FleetState state) {
     if (state.revision() == history.revision) {
       assertThat(state.evacuations().zones()).isEqualTo(history.evacuated.keySet());
     }
   }
 
-  // A reading does not tell that a target came and went meanwhile, so the dead one before it may
-  // still stand there until its entry lapses; where nothing came, all nodes agree.
+  // A complete state does not show a target that was added and removed since the previous one. An
+  // ended target that was listed before it at the address then stays visible until its entry
+  // expires. At addresses where no target was added in between, all nodes agree.
   @Property(seed = "20261202", tries = 500)
-  void targetThatHasLeftIsTakenForGoneHoweverANodeLearnsOfIt(@ForAll long seed) {
+  void removedTargetIsGoneWhetherANodeIsUpdatedByChangesOrByPeers(@ForAll long seed) {
     Random random = new Random(seed);
     History history = new History();
-    FleetState byEvents = FleetState.EMPTY;
+    FleetState byChanges = FleetState.EMPTY;
     FleetState byPeer = FleetState.EMPTY;
     for (int step = 0; step < STEPS; step++) {
       history.step(random);
-      for (StateChanges changes : history.after(byEvents.revision())) {
-        byEvents = byEvents.apply(changes);
+      for (StateChanges changes : history.after(byChanges.revision())) {
+        byChanges = byChanges.apply(changes);
       }
-      byPeer = random.nextInt(3) == 0 ? byPeer.merge(byEvents) : byPeer;
+      byPeer = random.nextInt(3) == 0 ? byPeer.merge(byChanges) : byPeer;
     }
-    byPeer = byPeer.merge(byEvents);
-    assertThat(listed(byPeer)).isEqualTo(listed(byEvents));
-    assertThat(listed(byEvents)).isEqualTo(history.listed);
+    byPeer = byPeer.merge(byChanges);
+    assertThat(listed(byPeer)).isEqualTo(listed(byChanges));
+    assertThat(listed(byChanges)).isEqualTo(history.listed);
   }
 
   private static Map<String, TargetRecord> listed(FleetState state) {
--- a/core/src/test/java/io/moorstage/core/state/FleetStateTest.java
+++ b/core/src/test/java/io/moorstage/core/state/FleetStateTest.java
@@ -12,13 +12,13 @@
   private static final TargetRecord READY = Fleet.target(1, TargetPhase.READY, 3);
 
   @Test
-  void completeReadingMarksTargetsThatItDoesNotListAsGone() {
+  void targetThatACompleteStateDoesNotListIsGone() {
     FleetState state = Fleet.state(5, READY).replaceBy(Fleet.state(7));
     assertThat(state.target(READY.id()).phase()).isEqualTo(TargetPhase.GONE);
   }
 
   @Test
-  void olderReadingTakesNothingBack() {
+  void olderCompleteStateUndoesNothing() {
     FleetState state = Fleet.state(5, 4, READY).replaceBy(Fleet.state(2, 3));
     assertThat(state.target(READY.id()).phase()).isEqualTo(TargetPhase.READY);
     assertThat(state.configuration().version()).isEqualTo(4);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void targetThatIsWrittenAndGoesInOneAnswerIsGone() {
+  void targetThatIsWrittenAndRemovedInOneResponseIsGone() {
     StateChanges changes =
         new StateChanges(
             9, List.of(Fleet.target(2, TargetPhase.READY, 8)), Map.of("t2", 9L), null, List.of());
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void eventsThatAreToldAgainChangeNothing() {
+  void changesThatAreReportedAgainHaveNoEffect() {
     StateChanges draining =
         new StateChanges(
             6, List.of(Fleet.target(1, TargetPhase.DRAINING, 6)), Map.of(), null, List.of());
@@ -45,46 +45,49 @@
     assertThat(state.target(READY.id()).phase()).isEqualTo(TargetPhase.DRAINING);
   }
 
-  // The entry of a target that was killed lapses after its successor has been listed.
+  // The entry of a target that was killed expires only after its successor has been listed.
   @Test
-  void targetIsNotHiddenByTheLaterLapseOfTheOneBeforeItAtItsAddress() {
-    TargetRecord before = Fleet.listed("before", Fleet.SERVICE, 1, 3);
+  void targetIsNotHiddenWhenTheEntryOfItsPredecessorExpiresLater() {
+    TargetRecord predecessor = Fleet.listed("before", Fleet.SERVICE, 1, 3);
     TargetRecord now = Fleet.listed("now", Fleet.SERVICE, 1, 6);
-    StateChanges lapse = new StateChanges(8, List.of(), Map.of("before", 8L), null, List.of());
-    FleetState state = Fleet.state(7, before, now).apply(lapse);
+    StateChanges expiry = new StateChanges(8, List.of(), Map.of("before", 8L), null, List.of());
+    FleetState state = Fleet.state(7, predecessor, now).apply(expiry);
     assertThat(state.targetsByAddress()).containsExactly(1, now);
   }
 
   @Test
-  void targetThatHasFollowedAnotherIsStillNewestWhenItIsDraining() {
-    TargetRecord before = Fleet.listed("before", Fleet.SERVICE, 1, 3);
+  void targetStillReplacesItsPredecessorWhenItIsDraining() {
+    TargetRecord predecessor = Fleet.listed("before", Fleet.SERVICE, 1, 3);
     TargetRecord draining =
         new TargetRecord("now", Fleet.SERVICE, 1, "z", 2, TargetPhase.DRAINING, 0, 6, 9);
-    assertThat(Fleet.state(9, before, draining).targetsByAddress()).containsExactly(1, draining);
+    assertThat(Fleet.state(9, predecessor, draining).targetsByAddress())
+        .containsExactly(1, draining);
   }
 
   @Test
   void addressBelongsToTheServiceOfTheTargetThatWasListedThereLast() {
-    TargetRecord before = Fleet.listed("before", Fleet.SERVICE, 1, 3);
+    TargetRecord predecessor = Fleet.listed("before", Fleet.SERVICE, 1, 3);
     TargetRecord now = Fleet.listed("now", "bundles", 1, 6);
     TargetPools pools =
-        TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(Fleet.state(7, before, now), 0);
+        TargetPools.empty(Fleet.POLICY, Fleet.ZONE).update(Fleet.state(7, predecessor, now), 0);
     assertThat(pools.ofService(Fleet.SERVICE)).isNull();
     assertThat(pools.ofService("bundles").at(1).record()).isEqualTo(now);
   }
 
   @Test
-  void targetWhoseEntryIsBackAfterALapseIsReady() {
+  void targetThatIsListedAgainAfterItsEntryExpiredIsReady() {
     TargetRecord first = Fleet.listed("t", Fleet.SERVICE, 1, 3);
-    TargetRecord back = Fleet.listed("t", Fleet.SERVICE, 1, 9);
-    FleetState lapsed = Fleet.state(7, first).replaceBy(Fleet.state(8));
-    FleetState state = lapsed.apply(new StateChanges(9, List.of(back), Map.of(), null, List.of()));
-    assertThat(state.targetsByAddress()).containsExactly(1, back);
+    TargetRecord listedAgain = Fleet.listed("t", Fleet.SERVICE, 1, 9);
+    FleetState expired = Fleet.state(7, first).replaceBy(Fleet.state(8));
+    FleetState state =
+        expired.apply(new StateChanges(9, List.of(listedAgain), Map.of(), null, List.of()));
+    assertThat(state.targetsByAddress()).containsExactly(1, listedAgain);
   }
 
-  // Listed at 1, lapsed at 2, back at 3, ended at 4: the other state was complete at 1, 2 and 4.
+  // Listed at 1, expired at 2, listed again at 3, ended at 4. The other state was complete at 1, 2
+  // and 4, so it holds the target as gone at 2.
   @Test
-  void targetThatACompleteStateTellsToBeGoneIsNotListedInIt() {
+  void targetThatACompleteStateHoldsAsGoneIsGone() {
     FleetState other =
         Fleet.state(1, Fleet.listed("t", Fleet.SERVICE, 1, 1))
             .replaceBy(Fleet.state(2))
@@ -96,22 +99,23 @@
   }
 
   @Test
-  void targetThatIsListedAnewWhileACompleteStateIsReadIsNotTakenForGone() {
-    TargetRecord back = Fleet.listed("t", Fleet.SERVICE, 1, 6);
+  void targetThatIsListedAgainWhileACompleteStateIsReadStaysListed() {
+    TargetRecord listedAgain = Fleet.listed("t", Fleet.SERVICE, 1, 6);
     FleetState gone =
         Fleet.state(2, Fleet.listed("t", Fleet.SERVICE, 1, 1)).replaceBy(Fleet.state(4));
-    // The pages of a reading are no snapshot: the later ones may tell more than its revision.
-    FleetState own = Fleet.state(4, back);
-    assertThat(own.replaceBy(gone).target("t")).isEqualTo(back);
-    assertThat(own.replaceBy(Fleet.state(5)).target("t")).isEqualTo(back);
-    assertThat(gone.replaceBy(own).target("t")).isEqualTo(back);
+    // The source is read in pages, which are not a consistent snapshot: later pages may hold
+    // changes above the revision of the complete state.
+    FleetState own = Fleet.state(4, listedAgain);
+    assertThat(own.replaceBy(gone).target("t")).isEqualTo(listedAgain);
+    assertThat(own.replaceBy(Fleet.state(5)).target("t")).isEqualTo(listedAgain);
+    assertThat(gone.replaceBy(own).target("t")).isEqualTo(listedAgain);
   }
 
   @Test
-  void targetIsGoneAsOfTheRevisionThatACompleteStateTells() {
+  void goneTargetHasTheRevisionThatTheCompleteStateHoldsForIt() {
     FleetState own = Fleet.state(3, Fleet.listed("t", Fleet.SERVICE, 1, 1));
-    FleetState told = own.replaceBy(Fleet.state(4)).replaceBy(Fleet.state(7));
-    assertThat(own.replaceBy(told).target("t")).isEqualTo(told.target("t"));
+    FleetState other = own.replaceBy(Fleet.state(4)).replaceBy(Fleet.state(7));
+    assertThat(own.replaceBy(other).target("t")).isEqualTo(other.target("t"));
   }
 
   private static ZoneEvacuation evacuation(boolean inForce, long revision) {
@@ -123,9 +127,9 @@
         revision, ForwardingConfiguration.NONE, List.of(), Evacuations.of(List.of(evacuations)));
   }
 
-  // Set at 1, lifted at 2, set at 3, lifted at 4: the other state was complete at 1, 2 and 4.
+  // Set at 1, lifted at 2, set at 3, lifted at 4. The other state was complete at 1, 2 and 4.
   @Test
-  void evacuationThatACompleteStateTellsToBeLiftedIsNotInForceInIt() {
+  void evacuationThatACompleteStateHoldsAsLiftedIsLifted() {
     FleetState other =
         evacuationsAt(1, evacuation(true, 1))
             .replaceBy(evacuationsAt(2))
@@ -134,20 +138,22 @@
     assertThat(own.replaceBy(other).evacuations().all()).containsExactly(evacuation(false, 4));
   }
 
-  private static FleetState routed(long version, WeightedService... services) {
+  private static FleetState routedState(long version, WeightedService... services) {
     return Fleet.state(version, version, List.of(Fleet.routeTo(services)), List.of());
   }
 
-  private static List<WeightedService> servicesIn(FleetState state) {
+  private static List<WeightedService> servicesOfOnlyRoute(FleetState state) {
     return state.configuration().routes().get(0).services();
   }
 
-  // Flows that are open there stay, and a node that has not seen them opened has to find them.
+  // Open flows of the former service stay there, and a node without a record of them has to find
+  // them.
   @Test
-  void serviceThatARouteHadBeforeStaysWithoutAShare() {
+  void formerServiceOfARouteStaysAtWeightZero() {
     FleetState moved =
-        routed(1, new WeightedService("a", 3)).replaceBy(routed(2, new WeightedService("b", 0)));
-    assertThat(servicesIn(moved))
+        routedState(1, new WeightedService("a", 3))
+            .replaceBy(routedState(2, new WeightedService("b", 0)));
+    assertThat(servicesOfOnlyRoute(moved))
         .containsExactly(new WeightedService("b", 1), new WeightedService("a", 0))
         .inOrder();
     for (int port = 0; port < 100; port++) {
@@ -157,39 +163,40 @@
   }
 
   @Test
-  void serviceThatARouteHasAgainGetsItsShareAgain() {
+  void formerServiceThatIsConfiguredAgainGetsItsNewWeight() {
     FleetState state =
-        routed(1, new WeightedService("a", 3))
-            .replaceBy(routed(2, new WeightedService("b", 1)))
-            .replaceBy(routed(3, new WeightedService("a", 2)));
-    assertThat(servicesIn(state))
+        routedState(1, new WeightedService("a", 3))
+            .replaceBy(routedState(2, new WeightedService("b", 1)))
+            .replaceBy(routedState(3, new WeightedService("a", 2)));
+    assertThat(servicesOfOnlyRoute(state))
         .containsExactly(new WeightedService("a", 2), new WeightedService("b", 0));
   }
 
   @Test
-  void routeAmongWhoseServicesNoneTakesNewFlowsStaysSo() {
+  void routeWhoseServicesAllHaveWeightZeroStillGetsNoNewFlows() {
     FleetState state =
-        routed(1, new WeightedService("c", 1))
-            .replaceBy(routed(2, new WeightedService("a", 0), new WeightedService("b", 0)));
+        routedState(1, new WeightedService("c", 1))
+            .replaceBy(routedState(2, new WeightedService("a", 0), new WeightedService("b", 0)));
     assertThat(state.configuration().routes().get(0).serviceOf(Fleet.flow(1))).isNull();
   }
 
   @Test
-  void nodesLearnFromPeersWhichServiceARouteHadBefore() {
+  void formerServicesOfRoutesAreTakenFromPeers() {
     WeightedService b = new WeightedService("b", 1);
-    FleetState peer = routed(1, new WeightedService("a", 3)).replaceBy(routed(2, b));
+    FleetState peer = routedState(1, new WeightedService("a", 3)).replaceBy(routedState(2, b));
     List<WeightedService> known = List.of(b, new WeightedService("a", 0));
-    assertThat(servicesIn(FleetState.EMPTY.merge(peer))).isEqualTo(known);
-    assertThat(servicesIn(FleetState.EMPTY.merge(peer).replaceBy(routed(2, b)))).isEqualTo(known);
-    assertThat(servicesIn(routed(2, b).merge(peer))).isEqualTo(known);
+    assertThat(servicesOfOnlyRoute(FleetState.EMPTY.merge(peer))).isEqualTo(known);
+    assertThat(servicesOfOnlyRoute(FleetState.EMPTY.merge(peer).replaceBy(routedState(2, b))))
+        .isEqualTo(known);
+    assertThat(servicesOfOnlyRoute(routedState(2, b).merge(peer))).isEqualTo(known);
   }
 
-  // An old copy may tell of a service whose flows have all ended.
+  // An older configuration may have a service whose flows have all ended.
   @Test
-  void olderConfigurationTellsOfNoFormerService() {
+  void olderConfigurationAddsNoFormerService() {
     WeightedService b = new WeightedService("b", 1);
-    FleetState state = routed(2, b).merge(routed(1, new WeightedService("a", 3)));
-    assertThat(servicesIn(state)).containsExactly(b);
+    FleetState state = routedState(2, b).merge(routedState(1, new WeightedService("a", 3)));
+    assertThat(servicesOfOnlyRoute(state)).containsExactly(b);
   }
 
   @Test
@@ -213,7 +220,7 @@
   }
 
   @Test
-  void changesOfOneAnswerAreAllTakenWhateverTheirOrder() {
+  void changesOfOneResponseAreAllTakenInAnyOrder() {
     TargetRecord first = Fleet.listed("a", Fleet.SERVICE, 1, 6);
     TargetRecord together = Fleet.listed("b", Fleet.SERVICE, 2, 6);
     TargetRecord later = Fleet.target(1, TargetPhase.DRAINING, 8);
@@ -222,16 +229,18 @@
     assertThat(state.targets()).containsExactly(first, together, later);
   }
 
-  // Entries lapse while the store is away, and are back in the answer that tells of the lapse.
+  // Entries expire while the store is unavailable. A response that reports the expiry may also hold
+  // the entry that the target has written again.
   @Test
-  void targetThatLapsesAndIsBackInOneAnswerIsListed() {
-    TargetRecord before = Fleet.listed("t", Fleet.SERVICE, 1, 3);
-    TargetRecord back = Fleet.listed("t", Fleet.SERVICE, 1, 7);
-    StateChanges answer = new StateChanges(7, List.of(back), Map.of("t", 6L), null, List.of());
-    assertThat(Fleet.state(5, before).apply(answer).target("t")).isEqualTo(back);
-    // The node may have been told of the lapse by a peer.
-    FleetState lapsed = Fleet.state(5, before).replaceBy(Fleet.state(6));
-    assertThat(lapsed.apply(answer).target("t")).isEqualTo(back);
+  void targetThatExpiresAndIsWrittenAgainInOneResponseIsListed() {
+    TargetRecord initial = Fleet.listed("t", Fleet.SERVICE, 1, 3);
+    TargetRecord listedAgain = Fleet.listed("t", Fleet.SERVICE, 1, 7);
+    StateChanges response =
+        new StateChanges(7, List.of(listedAgain), Map.of("t", 6L), null, List.of());
+    assertThat(Fleet.state(5, initial).apply(response).target("t")).isEqualTo(listedAgain);
+    // The node may already have the expiry from a peer.
+    FleetState expired = Fleet.state(5, initial).replaceBy(Fleet.state(6));
+    assertThat(expired.apply(response).target("t")).isEqualTo(listedAgain);
   }
 
   private static StateChanges written(long revision, TargetRecord... targets) {
--- a/core/src/test/java/io/moorstage/core/state/SourceErasTest.java
+++ b/core/src/test/java/io/moorstage/core/state/SourceErasTest.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A source that has come back from an older copy: counts of revisions go back, the era rises. */
+/**
+ * Tests states of a source that was restored from an older copy: the counts of its revisions go
+ * back and its era increases.
+ */
 class SourceErasTest {
   private static final long STARTED_AT_MS = 1_796_270_706_786L;
 
-  private static long before(long count) {
+  private static long beforeRestore(long count) {
     return Revision.of(1, count);
   }
 
-  private static long after(long count) {
+  private static long afterRestore(long count) {
     return Revision.of(2, count);
   }
 
@@ -39,12 +42,12 @@
 
   @Test
   void laterEraIsNewerWhateverItsCount() {
-    assertThat(after(0)).isGreaterThan(before(Revision.MAX_COUNT));
-    assertThat(Revision.era(after(18))).isEqualTo(2);
-    assertThat(Revision.count(after(18))).isEqualTo(18);
+    assertThat(afterRestore(0)).isGreaterThan(beforeRestore(Revision.MAX_COUNT));
+    assertThat(Revision.era(afterRestore(18))).isEqualTo(2);
+    assertThat(Revision.count(afterRestore(18))).isEqualTo(18);
     assertThat(Revision.of(0, 18)).isEqualTo(18);
     assertThat(Revision.of(Revision.MAX_ERA, Revision.MAX_COUNT)).isEqualTo(Long.MAX_VALUE);
-    assertThat(Revision.text(after(18))).isEqualTo("2.18");
+    assertThat(Revision.text(afterRestore(18))).isEqualTo("2.18");
     assertThat(Revision.text(18)).isEqualTo("18");
     assertThrows(IllegalArgumentException.class, () -> Revision.of(Revision.MAX_ERA + 1, 0));
     assertThrows(IllegalArgumentException.class, () -> Revision.of(0, Revision.MAX_COUNT + 1));
@@ -52,125 +55,131 @@
   }
 
   @Test
-  void whatIsWrittenAtACountOfBeforeIsTaken() {
-    FleetState own = Fleet.state(before(18), target(TargetPhase.READY, before(3)));
+  void changeAtACountOfTheEarlierEraIsTaken() {
+    FleetState own = Fleet.state(beforeRestore(18), target(TargetPhase.READY, beforeRestore(3)));
     FleetState restored =
-        own.replaceBy(Fleet.state(after(16), target(TargetPhase.READY, after(3))));
-    assertThat(restored.revision()).isEqualTo(after(16));
-    FleetState told = restored.apply(written(after(17), target(TargetPhase.DRAINING, after(17))));
-    assertThat(phaseIn(told)).isEqualTo(TargetPhase.DRAINING);
+        own.replaceBy(Fleet.state(afterRestore(16), target(TargetPhase.READY, afterRestore(3))));
+    assertThat(restored.revision()).isEqualTo(afterRestore(16));
+    FleetState updated =
+        restored.apply(written(afterRestore(17), target(TargetPhase.DRAINING, afterRestore(17))));
+    assertThat(phaseIn(updated)).isEqualTo(TargetPhase.DRAINING);
   }
 
   @Test
-  void nodeOfTheEarlierEraTakesAllFromAPeerOfTheLaterOne() {
-    FleetState own = Fleet.state(before(18), target(TargetPhase.READY, before(3)));
-    FleetState peer = Fleet.state(after(5), target(TargetPhase.DRAINING, after(4)));
+  void nodeInTheEarlierEraTakesTheStateOfAPeerInTheLaterOne() {
+    FleetState own = Fleet.state(beforeRestore(18), target(TargetPhase.READY, beforeRestore(3)));
+    FleetState peer = Fleet.state(afterRestore(5), target(TargetPhase.DRAINING, afterRestore(4)));
     FleetState caughtUp = own.merge(peer.since(own.revision(), own.configuration().version()));
-    assertThat(caughtUp.revision()).isEqualTo(after(5));
+    assertThat(caughtUp.revision()).isEqualTo(afterRestore(5));
     assertThat(phaseIn(caughtUp)).isEqualTo(TargetPhase.DRAINING);
-    assertThat(caughtUp.merge(own.since(0, 0)).revision()).isEqualTo(after(5));
+    assertThat(caughtUp.merge(own.since(0, 0)).revision()).isEqualTo(afterRestore(5));
   }
 
   @Test
-  void configurationNeverRevertsToThatOfTheCopy() {
-    FleetState own = Fleet.state(before(18), 9);
-    assertThat(own.replaceBy(Fleet.state(after(16), 5)).configuration().version()).isEqualTo(9);
+  void configurationNeverRevertsToThatOfTheRestoredCopy() {
+    FleetState own = Fleet.state(beforeRestore(18), 9);
+    assertThat(own.replaceBy(Fleet.state(afterRestore(16), 5)).configuration().version())
+        .isEqualTo(9);
   }
 
   @Test
-  void answerOfTheEarlierEraComesTooLate() {
-    FleetState own = Fleet.state(after(16), target(TargetPhase.DRAINING, after(15)));
-    TargetRecord other = Fleet.listed("t2", Fleet.SERVICE, 2, before(30));
-    FleetState same = own.apply(written(before(30), target(TargetPhase.READY, before(29)), other));
-    assertThat(same.revision()).isEqualTo(after(16));
+  void responseOfTheEarlierEraIsIgnored() {
+    FleetState own = Fleet.state(afterRestore(16), target(TargetPhase.DRAINING, afterRestore(15)));
+    TargetRecord other = Fleet.listed("t2", Fleet.SERVICE, 2, beforeRestore(30));
+    FleetState same =
+        own.apply(written(beforeRestore(30), target(TargetPhase.READY, beforeRestore(29)), other));
+    assertThat(same.revision()).isEqualTo(afterRestore(16));
     assertThat(phaseIn(same)).isEqualTo(TargetPhase.DRAINING);
     assertThat(same.target("t2")).isNull();
   }
 
   @Test
-  void targetThatTheCopyLacksIsKeptUntilItIsTakenForGone() {
-    FleetState own = Fleet.state(before(18), target(TargetPhase.READY, before(17)));
-    FleetState restored = own.replaceBy(Fleet.state(after(16)));
+  void targetMissingFromTheRestoredCopyStaysUntilUnconfirmedTargetsAreRemoved() {
+    FleetState own = Fleet.state(beforeRestore(18), target(TargetPhase.READY, beforeRestore(17)));
+    FleetState restored = own.replaceBy(Fleet.state(afterRestore(16)));
     assertThat(restored.hasUnconfirmed()).isTrue();
     assertThat(phaseIn(restored)).isEqualTo(TargetPhase.READY);
-    // Another complete reading, still without it, comes before the target has written again.
-    FleetState again = restored.replaceBy(Fleet.state(after(19)));
+    // Another complete state still lacks the target, which has not yet written its entry again.
+    FleetState again = restored.replaceBy(Fleet.state(afterRestore(19)));
     assertThat(phaseIn(again)).isEqualTo(TargetPhase.READY);
 
     FleetState confirmed = again.withoutUnconfirmed();
-    assertThat(confirmed.target("t1").revision()).isEqualTo(after(19));
+    assertThat(confirmed.target("t1").revision()).isEqualTo(afterRestore(19));
     assertThat(phaseIn(confirmed)).isEqualTo(TargetPhase.GONE);
     assertThat(confirmed.hasUnconfirmed()).isFalse();
   }
 
   @Test
   void targetThatIsWrittenAgainIsConfirmed() {
-    FleetState own = Fleet.state(before(18), target(TargetPhase.READY, before(17)));
+    FleetState own = Fleet.state(beforeRestore(18), target(TargetPhase.READY, beforeRestore(17)));
     FleetState restored =
-        own.replaceBy(Fleet.state(after(16)))
-            .apply(written(after(17), target(TargetPhase.READY, after(17))));
+        own.replaceBy(Fleet.state(afterRestore(16)))
+            .apply(written(afterRestore(17), target(TargetPhase.READY, afterRestore(17))));
     assertThat(restored.hasUnconfirmed()).isFalse();
     assertThat(phaseIn(restored.withoutUnconfirmed())).isEqualTo(TargetPhase.READY);
   }
 
   @Test
-  void targetThatHasLeftWithinOneEraIsGoneAtOnce() {
-    FleetState own = Fleet.state(after(16), target(TargetPhase.READY, after(15)));
-    assertThat(phaseIn(own.replaceBy(Fleet.state(after(19))))).isEqualTo(TargetPhase.GONE);
+  void targetThatIsRemovedWithinOneEraIsGoneAtOnce() {
+    FleetState own = Fleet.state(afterRestore(16), target(TargetPhase.READY, afterRestore(15)));
+    assertThat(phaseIn(own.replaceBy(Fleet.state(afterRestore(19))))).isEqualTo(TargetPhase.GONE);
   }
 
   @Test
-  void evacuationThatTheCopyLacksIsKeptUntilItIsTakenForLifted() {
-    FleetState own = Fleet.evacuated(Fleet.state(before(18)), "z", "y");
-    FleetState restored = own.replaceBy(Fleet.state(after(16)));
+  void evacuationMissingFromTheRestoredCopyStaysUntilUnconfirmedOnesAreLifted() {
+    FleetState own = Fleet.evacuated(Fleet.state(beforeRestore(18)), "z", "y");
+    FleetState restored = own.replaceBy(Fleet.state(afterRestore(16)));
     assertThat(restored.evacuations().zones()).containsExactly("z", "y");
-    ZoneEvacuation again = new ZoneEvacuation("y", true, after(17));
-    FleetState told =
-        restored.apply(new StateChanges(after(17), List.of(), Map.of(), null, List.of(again)));
-    assertThat(told.hasUnconfirmed()).isTrue();
-    assertThat(told.withoutUnconfirmed().evacuations().zones()).containsExactly("y");
+    ZoneEvacuation again = new ZoneEvacuation("y", true, afterRestore(17));
+    FleetState updated =
+        restored.apply(
+            new StateChanges(afterRestore(17), List.of(), Map.of(), null, List.of(again)));
+    assertThat(updated.hasUnconfirmed()).isTrue();
+    assertThat(updated.withoutUnconfirmed().evacuations().zones()).containsExactly("y");
   }
 
-  // The copy lists it as ready until the target has written again.
+  // The restored copy lists the target as ready until it has written its entry again.
   @Test
-  void targetThatHasSaidThatItLeavesDoesSoInALaterEra() {
-    FleetState own = Fleet.state(before(18), target(TargetPhase.DRAINING, before(17)));
-    FleetState copy = Fleet.state(after(16), target(TargetPhase.READY, after(3)));
+  void drainingTargetStaysDrainingInALaterEra() {
+    FleetState own =
+        Fleet.state(beforeRestore(18), target(TargetPhase.DRAINING, beforeRestore(17)));
+    FleetState copy = Fleet.state(afterRestore(16), target(TargetPhase.READY, afterRestore(3)));
     assertThat(phaseIn(own.replaceBy(copy))).isEqualTo(TargetPhase.DRAINING);
     assertThat(phaseIn(copy.merge(own))).isEqualTo(TargetPhase.DRAINING);
-    FleetState left =
-        own.apply(new StateChanges(before(19), List.of(), goneAt19(), null, List.of()));
-    assertThat(phaseIn(left)).isEqualTo(TargetPhase.GONE);
-    assertThat(phaseIn(left.replaceBy(copy))).isEqualTo(TargetPhase.DRAINING);
+    FleetState removed =
+        own.apply(new StateChanges(beforeRestore(19), List.of(), goneAt19(), null, List.of()));
+    assertThat(phaseIn(removed)).isEqualTo(TargetPhase.GONE);
+    assertThat(phaseIn(removed.replaceBy(copy))).isEqualTo(TargetPhase.DRAINING);
   }
 
   private static Map<String, Long> goneAt19() {
-    return Map.of("t1", before(19));
+    return Map.of("t1", beforeRestore(19));
   }
 
   @Test
-  void targetThatHasStartedAgainIsNotBoundByWhatTheEarlierStartSaid() {
-    TargetRecord leaving = started(STARTED_AT_MS, TargetPhase.DRAINING, before(17));
-    TargetRecord next = started(STARTED_AT_MS + 1, TargetPhase.READY, after(17));
-    FleetState own = Fleet.state(before(18), leaving).replaceBy(Fleet.state(after(17), next));
+  void restartedTargetIsReadyAlthoughItsEarlierStartWasDraining() {
+    TargetRecord draining = started(STARTED_AT_MS, TargetPhase.DRAINING, beforeRestore(17));
+    TargetRecord next = started(STARTED_AT_MS + 1, TargetPhase.READY, afterRestore(17));
+    FleetState own =
+        Fleet.state(beforeRestore(18), draining).replaceBy(Fleet.state(afterRestore(17), next));
     assertThat(phaseIn(own)).isEqualTo(TargetPhase.READY);
-    assertThat(next.startNumber()).isNotEqualTo(leaving.startNumber());
+    assertThat(next.startNumber()).isNotEqualTo(draining.startNumber());
   }
 
   @Test
-  void recordOfAnEarlierStartChangesNothingOfTheLaterOneThoughItIsWrittenLater() {
-    TargetRecord next = started(STARTED_AT_MS + 1, TargetPhase.READY, before(17));
-    TargetRecord late = started(STARTED_AT_MS, TargetPhase.DRAINING, before(18));
-    FleetState own = Fleet.state(before(17), next);
-    assertThat(own.apply(written(before(18), late)).target("t1")).isEqualTo(next);
-    assertThat(own.merge(Fleet.state(before(18), late)).target("t1")).isEqualTo(next);
-    assertThat(Fleet.state(before(18), late).merge(own).target("t1")).isEqualTo(next);
+  void recordOfAnEarlierStartNeverReplacesThatOfTheLaterStart() {
+    TargetRecord next = started(STARTED_AT_MS + 1, TargetPhase.READY, beforeRestore(17));
+    TargetRecord late = started(STARTED_AT_MS, TargetPhase.DRAINING, beforeRestore(18));
+    FleetState own = Fleet.state(beforeRestore(17), next);
+    assertThat(own.apply(written(beforeRestore(18), late)).target("t1")).isEqualTo(next);
+    assertThat(own.merge(Fleet.state(beforeRestore(18), late)).target("t1")).isEqualTo(next);
+    assertThat(Fleet.state(beforeRestore(18), late).merge(own).target("t1")).isEqualTo(next);
   }
 
-  // The copy lists the target that had the address before.
+  // The restored copy lists the target that had the address earlier.
   @Test
-  void targetThatTheCopyListsDoesNotHideTheLaterStartAtItsAddress() {
-    TargetRecord now = started(STARTED_AT_MS + 1, TargetPhase.READY, before(17));
+  void targetListedByTheRestoredCopyDoesNotHideTheLaterStartAtItsAddress() {
+    TargetRecord now = started(STARTED_AT_MS + 1, TargetPhase.READY, beforeRestore(17));
     TargetRecord ended =
         new TargetRecord(
             "t0",
@@ -182,17 +191,19 @@
             TargetPhase.READY,
             false,
             0,
-            after(3),
-            after(3));
-    FleetState own = Fleet.state(before(18), now).replaceBy(Fleet.state(after(16), ended));
+            afterRestore(3),
+            afterRestore(3));
+    FleetState own =
+        Fleet.state(beforeRestore(18), now).replaceBy(Fleet.state(afterRestore(16), ended));
     assertThat(own.targetsByAddress()).containsExactly(1, now);
   }
 
   @Test
-  void startThatIsKnownDoesNotTakeBackThatItLeaves() {
-    TargetRecord leaving = started(STARTED_AT_MS, TargetPhase.DRAINING, before(17));
-    TargetRecord ready = started(STARTED_AT_MS, TargetPhase.READY, before(18));
-    FleetState own = Fleet.state(before(17), leaving).apply(written(before(18), ready));
+  void drainingStartDoesNotBecomeReadyAgain() {
+    TargetRecord draining = started(STARTED_AT_MS, TargetPhase.DRAINING, beforeRestore(17));
+    TargetRecord ready = started(STARTED_AT_MS, TargetPhase.READY, beforeRestore(18));
+    FleetState own =
+        Fleet.state(beforeRestore(17), draining).apply(written(beforeRestore(18), ready));
     assertThat(phaseIn(own)).isEqualTo(TargetPhase.DRAINING);
   }
 }
