--- a/core/src/main/java/io/moorstage/core/placement/TargetPool.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetPool.java
@@ -16,7 +16,7 @@
  * slots.
  */
 public final class TargetPool {
-  /** The targets of the zone, and of all zones, that a new flow chooses from. */
+  /** How many targets of its zone, and how many of all zones, a new flow chooses from. */
   private static final int CHOICES = 2;
 
   /**
