--- a/core/src/main/java/io/moorstage/core/balancer/AgentDirectory.java
+++ b/core/src/main/java/io/moorstage/core/balancer/AgentDirectory.java
@@ -11,48 +11,62 @@
 import javax.annotation.Nullable;
 
 /**
- * Which agents a balancer hears from, and which do not answer it. Guarded by the lock of {@link
- * FlowBalancer}.
+ * Tracks the agents that send beacons to a balancer and those that do not respond to its queries.
+ * Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>An agent that has not been heard from is not silent for that: agents send beacons to few
- * balancers, and do not answer each beacon. It is silent if it leaves questions unanswered for
- * long, or has said that it stops and has not come back.
+ * <p>An agent is active if it has sent a beacon within {@code agentSilenceMs}. An agent that is not
+ * active need not be unresponsive, since agents send beacons to few balancers and do not answer
+ * each beacon. It is unresponsive if it has left queries unanswered for longer than {@code
+ * agentSilenceMs}, or has announced that it stops and has not returned within that time.
  */
 final class AgentDirectory {
-  /**
-   * The capacity, in requests at a time, that a target is taken to have as long as the source does
-   * not list it. Not measured.
-   */
+  /** The assumed capacity, in concurrent requests, of a target that the source does not list. */
   private static final int UNLISTED_CAPACITY = 4;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final ForwardingPolicy policy;
-  private final Map<Integer, HeardAgent> heardAgents = new HashMap<>();
+  private final Map<Integer, KnownAgent> knownAgents = new HashMap<>();
 
-  /** For each agent that has not been heard from since it was asked: when that was. */
+  /**
+   * The time of the first unanswered query, by agent address. A beacon or a response removes the
+   * entry.
+   */
   private final Map<Integer, Long> unansweredSinceMs = new HashMap<>();
 
-  /** For each agent that has said last that its target's process has ended: since when. */
+  /**
+   * The time since which an agent's beacons have reported that its target's process has ended, by
+   * agent address.
+   */
   private final Map<Integer, Long> endedSinceMs = new HashMap<>();
 
-  /** An agent that has sent a beacon, whether or not the source lists its target. */
-  record HeardAgent(String service, TargetSlot slot, long heardAtMs) {}
+  /**
+   * An agent that has sent a beacon, whether or not the source lists its target.
+   *
+   * @param slot the target as the agent reports it, unlisted
+   * @param lastBeaconAtMs the time of the last beacon, in milliseconds; {@link #NEVER} if the agent
+   *     has announced that it stops
+   */
+  record KnownAgent(String service, TargetSlot slot, long lastBeaconAtMs) {}
 
   AgentDirectory(ForwardingPolicy policy) {
     this.policy = policy;
   }
 
-  /** Notes a beacon; returns whether the agent was silent or unknown before. */
-  boolean hear(AgentReport report, long nowMs) {
+  /**
+   * Records a beacon.
+   *
+   * @return whether the agent was unknown or inactive before and is not stopping
+   */
+  boolean recordReport(AgentReport report, long nowMs) {
     int address = report.address();
-    HeardAgent known = heardAgents.get(address);
-    boolean same = known != null && known.service().equals(report.service());
+    KnownAgent known = knownAgents.get(address);
+    boolean sameService = known != null && known.service().equals(report.service());
     TargetSlot slot =
-        same ? known.slot() : unlistedSlot(address, report.service(), report.zone(), nowMs);
-    boolean appeared = !isHeard(address, nowMs);
-    long heardAtMs = report.stopping() ? NEVER : nowMs;
-    heardAgents.put(address, new HeardAgent(report.service(), slot, heardAtMs));
+        sameService ? known.slot() : unlistedSlot(address, report.service(), report.zone(), nowMs);
+    boolean becameActive = !isActive(address, nowMs);
+    long lastBeaconAtMs = report.stopping() ? NEVER : nowMs;
+    knownAgents.put(address, new KnownAgent(report.service(), slot, lastBeaconAtMs));
     unansweredSinceMs.remove(address);
     if (report.targetEnded()) {
       endedSinceMs.putIfAbsent(address, nowMs);
@@ -60,15 +74,15 @@
       endedSinceMs.remove(address);
     }
     if (report.stopping()) {
-      // It counts as away unless it comes back soon, as after a restart.
-      asked(address, nowMs);
+      // The agent becomes unresponsive unless it returns within agentSilenceMs, as after a restart.
+      recordQuery(address, nowMs);
     }
-    return appeared && !report.stopping();
+    return becameActive && !report.stopping();
   }
 
   /**
-   * Returns whether the agent at an address has said last that its target's process has ended: no
-   * flow is there, and nobody has to be waited for.
+   * Returns whether the last beacon of an agent reported that its target's process has ended. The
+   * target then holds no flow, and no search has to wait for the agent.
    */
   boolean hasTargetEnded(int agentAddress) {
     return endedSinceMs.containsKey(agentAddress);
@@ -83,65 +97,74 @@
         nowMs);
   }
 
-  /** An agent has been asked for a flow, which it answers whatever it knows. */
-  void asked(int agentAddress, long nowMs) {
+  /** Records a query to an agent. Agents respond to each query, also for flows they do not know. */
+  void recordQuery(int agentAddress, long nowMs) {
     unansweredSinceMs.putIfAbsent(agentAddress, nowMs);
   }
 
-  /** An agent has answered a question. */
-  void answered(int agentAddress) {
+  /** Records an agent's response to a query. */
+  void recordResponse(int agentAddress) {
     unansweredSinceMs.remove(agentAddress);
   }
 
-  /** Returns whether an agent has sent a beacon of late. */
-  boolean isHeard(int agentAddress, long nowMs) {
-    HeardAgent agent = heardAgents.get(agentAddress);
-    return agent != null && nowMs - agent.heardAtMs() <= policy.search().agentSilenceMs();
+  /** Returns whether an agent has sent a beacon within {@code agentSilenceMs}. */
+  boolean isActive(int agentAddress, long nowMs) {
+    KnownAgent agent = knownAgents.get(agentAddress);
+    return agent != null && nowMs - agent.lastBeaconAtMs() <= policy.search().agentSilenceMs();
   }
 
-  /** Returns whether an agent has left questions unanswered for so long that it counts as away. */
-  boolean isSilent(int agentAddress, long nowMs) {
+  /**
+   * Returns whether an agent has left queries unanswered for longer than {@code agentSilenceMs} and
+   * is not active.
+   */
+  boolean isUnresponsive(int agentAddress, long nowMs) {
     Long sinceMs = unansweredSinceMs.get(agentAddress);
     boolean unanswered = sinceMs != null && nowMs - sinceMs > policy.search().agentSilenceMs();
-    return unanswered && !isHeard(agentAddress, nowMs);
+    return unanswered && !isActive(agentAddress, nowMs);
   }
 
   @Nullable
-  HeardAgent get(int agentAddress) {
-    return heardAgents.get(agentAddress);
+  KnownAgent get(int agentAddress) {
+    return knownAgents.get(agentAddress);
   }
 
-  /** Returns all agents that have sent a beacon, also those that have fallen silent since. */
-  Collection<HeardAgent> all() {
-    return heardAgents.values();
+  /** Returns all agents that have sent a beacon, including those that are no longer active. */
+  Collection<KnownAgent> all() {
+    return knownAgents.values();
   }
 
-  /** Returns how many agents have sent a beacon of late. */
-  int heardCount(long nowMs) {
+  /** Returns how many agents have sent a beacon within {@code agentSilenceMs}. */
+  int activeCount(long nowMs) {
     int count = 0;
-    for (HeardAgent agent : heardAgents.values()) {
-      if (nowMs - agent.heardAtMs() <= policy.search().agentSilenceMs()) {
+    for (KnownAgent agent : knownAgents.values()) {
+      if (nowMs - agent.lastBeaconAtMs() <= policy.search().agentSilenceMs()) {
         count++;
       }
     }
     return count;
   }
 
-  /** Returns whether agents have been heard from before, and none of them within some time. */
+  /**
+   * Returns whether agents are known, but none of them has sent a beacon within the last {@code
+   * periodMs} milliseconds.
+   */
   boolean hasLostAll(int periodMs, long nowMs) {
-    for (HeardAgent agent : heardAgents.values()) {
-      if (nowMs - agent.heardAtMs() <= periodMs) {
+    for (KnownAgent agent : knownAgents.values()) {
+      if (nowMs - agent.lastBeaconAtMs() <= periodMs) {
         return false;
       }
     }
-    return !heardAgents.isEmpty();
+    return !knownAgents.isEmpty();
   }
 
-  /** Forgets agents that have long been silent. */
+  /**
+   * Evicts agents that have announced that they stop, and all entries older than {@code
+   * goneTargetMs}.
+   */
   void sweep(long nowMs) {
-    int memoryMs = policy.memory().goneTargetMs();
-    heardAgents.values().removeIf(agent -> nowMs - agent.heardAtMs() > memoryMs);
-    endedSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > memoryMs);
-    unansweredSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > memoryMs);
+    int retentionMs = policy.memory().goneTargetMs();
+    knownAgents.values().removeIf(agent -> nowMs - agent.lastBeaconAtMs() > retentionMs);
+    endedSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > retentionMs);
+    unansweredSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > retentionMs);
   }
 }
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerActions.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerActions.java
@@ -4,31 +4,42 @@
 import io.moorstage.core.message.ForwardTerms;
 import java.nio.ByteBuffer;
 
-/** What a balancer's decisions lead to. Calls come under a lock and must not block. */
+/** Executes a balancer's decisions. The methods are called under a lock and must not block. */
 public interface BalancerActions {
 
   /**
-   * Sends a client's segment to the agent beside a target.
+   * Sends a client's segment to the agent of a target.
    *
-   * @param agentAddress the machine of agent and target
+   * @param agentAddress the address of the machine of agent and target
+   * @param terms the terms that accompany the segment
    * @param datagram the segment
    */
   void forward(int agentAddress, ForwardTerms terms, ByteBuffer datagram);
 
   /**
-   * Asks an agent or another balancer what it knows of a flow, at the latest with {@link #flush}.
+   * Queries an agent or another balancer about a flow. The query may be batched and is sent no
+   * later than the next {@link #flush}.
    */
-  void ask(int peerAddress, FlowId flow);
+  void query(int peerAddress, FlowId flow);
 
-  /** Sends the questions that have been gathered. */
+  /** Sends the batched queries. */
   void flush();
 
-  /** Asks all other balancers, up to a bound, what they know of a flow. */
-  void askBalancers(FlowId flow);
+  /** Queries the other balancers, up to a maximum number of them, about a flow. */
+  void queryBalancers(FlowId flow);
 
-  /** Sends a reset to a flow's client. */
+  /**
+   * Sends a reset to a flow's client.
+   *
+   * @param sequence the sequence number of the reset: the acknowledgement number of the client's
+   *     segment
+   */
   void reset(FlowId flow, int sequence);
 
-  /** A peer has seen a newer configuration than this balancer: gets the peer's state. */
-  void catchUp(int peerAddress, long configurationVersion);
+  /**
+   * Fetches the state of a peer that has seen a newer configuration than this balancer.
+   *
+   * @param configurationVersion the newest configuration version that the peer has seen
+   */
+  void fetchState(int peerAddress, long configurationVersion);
 }
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import javax.annotation.Nullable;
 
-/** What a balancer remembers of one flow. Guarded by the lock of {@link FlowBalancer}. */
+/**
+ * The state of one flow in a balancer's flow table. Guarded by the lock of {@link FlowBalancer}.
+ */
 final class BalancerFlow {
-  private static final Search.Stage SETTLED = new Search.Settled();
+  private static final Search.Stage IDLE = new Search.Idle();
   private static final Search.Stage NOT_FOUND = new Search.NotFound();
 
   private final FlowId id;
@@ -17,19 +19,19 @@
 
   @Nullable private TargetSlot target;
 
-  /** Targets that got the opening segment and gave it back or left it unanswered. */
+  /** Targets that received the opening segment and returned it or did not answer it. */
   private final List<TargetSlot> tried = new ArrayList<>(0);
 
-  /** Addresses of targets that have returned a later segment: they do not hold the flow. */
-  private final List<Integer> denied = new ArrayList<>(0);
+  /** Addresses of targets that returned a segment after the opening: they do not hold the flow. */
+  private final List<Integer> nonHolders = new ArrayList<>(0);
 
   /**
-   * Whether an agent has confirmed that its target holds the flow, or the flow was opened from
-   * here.
+   * Whether the target is known to hold the flow: an agent has reported it, or the client has
+   * continued a flow that this balancer opened.
    */
   private boolean confirmed;
 
-  private int unreturnedOpens;
+  private int unreturnedOpenings;
 
   private long openedAtMs;
   private long lastUsedMs;
@@ -38,11 +40,14 @@
   private boolean answered;
   @Nullable private ForwardTerms terms;
 
-  private boolean insists;
-  private Search.Stage stage = SETTLED;
+  private boolean overridesEjection;
+  private Search.Stage stage = IDLE;
 
-  /** Offers made while not all agents that may know the flow had answered, in all searches. */
-  private int blindOffers;
+  /**
+   * The number of offers, over all searches, that were made while an agent that may know the flow
+   * had not responded.
+   */
+  private int speculativeOffers;
 
   private BalancerFlow(FlowId id, String service, boolean answered, long nowMs) {
     this.id = id;
@@ -52,12 +57,12 @@
     this.lastUsedMs = nowMs;
   }
 
-  /** Returns a flow that a client opens now. */
+  /** Creates a flow that a client is opening. */
   static BalancerFlow opening(FlowId id, String service, long nowMs) {
     return new BalancerFlow(id, service, false, nowMs);
   }
 
-  /** Returns a flow that a client goes on with, and that this balancer does not know. */
+  /** Creates an open flow whose target this balancer does not know. */
   static BalancerFlow unknown(FlowId id, String service, long nowMs) {
     return new BalancerFlow(id, service, true, nowMs);
   }
@@ -70,13 +75,13 @@
     return service;
   }
 
-  /** Returns where the flow's segments go, or null while the place is unknown. */
+  /** Returns the target that the flow's segments are sent to, or null if it is unknown. */
   @Nullable
   TargetSlot target() {
     return target;
   }
 
-  /** Returns the target if it is known to hold the flow, or null. */
+  /** Returns the target if it is known to hold the flow, otherwise null. */
   @Nullable
   TargetSlot confirmedTarget() {
     return confirmed && !isSearching() ? target : null;
@@ -94,17 +99,20 @@
     return closed;
   }
 
-  /** Returns whether the client has gone on after the opening, so that a target has answered. */
+  /**
+   * Returns whether the client has sent a segment after the opening, which implies that a target
+   * has answered the opening.
+   */
   boolean isAnswered() {
     return answered;
   }
 
-  /** Returns whether a target is to take the flow although it seems unfit. */
-  boolean insists() {
-    return insists;
+  /** Returns whether the target has to accept the flow although it is ejected. */
+  boolean overridesEjection() {
+    return overridesEjection;
   }
 
-  /** Returns what goes to agents with the flow's segments, or null before the first one. */
+  /** Returns the terms that accompany the flow's segments, or null before the first segment. */
   @Nullable
   ForwardTerms terms() {
     return terms;
@@ -114,18 +122,21 @@
     terms = newTerms;
   }
 
-  /** The client has sent a segment. */
-  void used(long nowMs) {
+  /** Records that the client has sent a segment. */
+  void markUsed(long nowMs) {
     lastUsedMs = nowMs;
   }
 
-  /** The client has gone on after the opening: the target holds the flow. */
+  /**
+   * Records that the client has sent a segment after the opening, so that the target holds the
+   * flow.
+   */
   void confirmByClient() {
     answered = true;
     confirmed = true;
   }
 
-  /** The client has closed or broken off the flow. */
+  /** Records that the client has closed or reset the flow. */
   void close() {
     if (!closed) {
       if (target != null) {
@@ -135,13 +146,17 @@
     }
   }
 
-  /** A peer has named the holder, for certain or as far as it knows. */
-  void foundAt(TargetSlot holder, boolean certain) {
-    confirmed = certain;
+  /**
+   * Moves the flow to the target that a peer has named as its holder.
+   *
+   * @param isConfirmed whether the holder's own agent reported it, rather than another balancer
+   */
+  void setHolder(TargetSlot holder, boolean isConfirmed) {
+    confirmed = isConfirmed;
     moveTo(holder);
   }
 
-  /** The flow's segments go to another target from now on; null if its place is unknown. */
+  /** Sends the flow's further segments to another target; null if its target is unknown. */
   void moveTo(@Nullable TargetSlot next) {
     if (target == next) {
       return;
@@ -155,43 +170,45 @@
     }
   }
 
-  /** A target has returned a segment other than the opening one: it does not hold the flow. */
-  void denyAt(int address) {
-    if (!denied.contains(address)) {
-      denied.add(address);
+  /**
+   * Records that a target has returned a segment after the opening and so does not hold the flow.
+   */
+  void addNonHolder(int address) {
+    if (!nonHolders.contains(address)) {
+      nonHolders.add(address);
     }
   }
 
-  boolean isDeniedBy(int address) {
-    return denied.contains(address);
+  boolean isNonHolder(int address) {
+    return nonHolders.contains(address);
   }
 
   // ---- the opening ----
 
-  /** The opening segment goes to a target now. */
-  void openAt(TargetSlot next, boolean nowInsists, long nowMs) {
+  /** Records that the opening segment is sent to a target. */
+  void openAt(TargetSlot next, boolean newOverridesEjection, long nowMs) {
     moveTo(next);
-    insists = nowInsists;
+    overridesEjection = newOverridesEjection;
     openedAtMs = nowMs;
-    unreturnedOpens++;
+    unreturnedOpenings++;
   }
 
-  /** A copy of the opening segment goes to the same target. */
-  void openAgain() {
-    unreturnedOpens++;
+  /** Counts a retransmission of the opening segment that is sent to the same target. */
+  void countRetransmission() {
+    unreturnedOpenings++;
   }
 
-  /** An agent has given an opening segment back. */
-  void openReturned() {
-    unreturnedOpens--;
+  /** Counts an opening segment that an agent has returned. */
+  void countReturnedOpening() {
+    unreturnedOpenings--;
   }
 
-  /** Returns whether an opening segment went to a target that may still accept it. */
-  boolean hasUnreturnedOpens() {
-    return unreturnedOpens > 0;
+  /** Returns whether a target may still accept an opening segment that was sent to it. */
+  boolean hasUnreturnedOpenings() {
+    return unreturnedOpenings > 0;
   }
 
-  /** Returns the targets that gave the opening segment back or left it unanswered. */
+  /** Returns the targets that returned the opening segment or did not answer it. */
   List<TargetSlot> tried() {
     return tried;
   }
@@ -204,9 +221,12 @@
     tried.clear();
   }
 
-  /** Removes the target that was tried last, which may have accepted the flow; null if none. */
+  /**
+   * Removes and returns the target that was tried last, which may have accepted the flow; null if
+   * there is none.
+   */
   @Nullable
-  TargetSlot takeLastTried() {
+  TargetSlot removeLastTried() {
     return tried.isEmpty() ? null : tried.remove(tried.size() - 1);
   }
 
@@ -216,78 +236,83 @@
     return search() != null;
   }
 
-  /** Returns the search that is in progress, or null. */
+  /** Returns the search in progress, or null. */
   @Nullable
   Search search() {
-    // The case of nearly every segment, found by identity: testing the type of an interface, and
-    // finding that it does not fit, nearly doubled the cost of a segment (some 1,000 ns instead of
-    // 570, mean of ForwardingBenchmark with 300,000 flows in random order).
-    if (stage == SETTLED) {
+    // Nearly every segment takes this branch. The identity check avoids a failing type test against
+    // an interface, which raised the cost of a segment from 570 ns to some 1,000 ns (mean of
+    // ForwardingBenchmark with 300,000 flows in random order).
+    if (stage == IDLE) {
       return null;
     }
     return stage instanceof Search.Searching searching ? searching.search() : null;
   }
 
-  /** Returns the target that has been offered a segment and not returned it, or null. */
+  /** Returns the target of the pending offer, or null. */
   @Nullable
   TargetSlot offeredTo() {
     return stage instanceof Search.Offered offered ? offered.target() : null;
   }
 
-  /** Returns the search that ended with an offer which has not been returned so far, or null. */
+  /** Returns the search that ended with a kept offer which has not been returned since, or null. */
   @Nullable
   Search endedSearch() {
     return stage instanceof Search.KeptOffer kept ? kept.search() : null;
   }
 
-  /** Returns whether the last search found neither the flow nor that nobody holds it. */
+  /** Returns whether the last search ended without a result. */
   boolean isNotFound() {
     return stage instanceof Search.NotFound;
   }
 
-  int blindOffers() {
-    return blindOffers;
+  int speculativeOffers() {
+    return speculativeOffers;
   }
 
-  void countBlindOffer() {
-    blindOffers++;
+  void countSpeculativeOffer() {
+    speculativeOffers++;
   }
 
-  /** A search for the flow begins, or one that had ended goes on; its place is unknown. */
-  void searchWith(Search search) {
+  /** Starts a search or resumes an ended one; the flow's target is unknown from then on. */
+  void beginSearch(Search search) {
     requireStage(!isSearching());
     moveTo(null);
     confirmed = false;
-    stage = new Search.Asking(search);
+    stage = new Search.Querying(search);
   }
 
-  /** A target is offered a segment. */
+  /** Records that a segment is offered to a target. */
   void offerTo(TargetSlot offered) {
-    if (!(stage instanceof Search.Asking asking)) {
-      throw new IllegalStateException("No offer in stage " + stage);
+    if (!(stage instanceof Search.Querying querying)) {
+      throw new IllegalStateException("Cannot offer a segment in stage " + stage);
     }
-    stage = new Search.Offered(asking.search(), offered);
+    stage = new Search.Offered(querying.search(), offered);
   }
 
-  /** The target that was offered a segment has returned it. */
-  void returnOffer() {
-    stage = new Search.Asking(offered().search());
+  /** Records that the target has returned the offered segment. */
+  void markOfferReturned() {
+    stage = new Search.Querying(offered().search());
   }
 
-  /** The search has ended, with a holder or with a loss, or a kept offer is no longer one. */
+  /**
+   * Ends the search because the flow was located or lost, or because a kept offer is superseded.
+   */
   void endSearch() {
     requireStage(isSearching() || endedSearch() != null);
-    stage = SETTLED;
+    stage = IDLE;
   }
 
-  /** The target has kept its offer, and counts as the holder unless it returns it later. */
-  void keepOffer() {
+  /**
+   * Ends the search with the target that has kept the offered segment. It is treated as the holder
+   * unless it returns the segment later.
+   */
+  void markOfferKept() {
     Search.Offered offered = offered();
     moveTo(offered.target());
     stage = new Search.KeptOffer(offered.search());
   }
 
-  /** The search has ended without a result. */
+  /** Ends the search without a result. */
   void giveUpSearch() {
     requireStage(isSearching());
     stage = NOT_FOUND;
@@ -297,12 +322,12 @@
     if (stage instanceof Search.Offered offered) {
       return offered;
     }
-    throw new IllegalStateException("No offer in stage " + stage);
+    throw new IllegalStateException("No pending offer in stage " + stage);
   }
 
-  private void requireStage(boolean fits) {
-    if (!fits) {
-      throw new IllegalStateException("Not possible in stage " + stage);
+  private void requireStage(boolean isAllowed) {
+    if (!isAllowed) {
+      throw new IllegalStateException("Operation not allowed in stage " + stage);
     }
   }
 }
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
@@ -20,8 +20,8 @@
 import javax.annotation.Nullable;
 
 /**
- * What the parts of a balancer share: the state, the targets, the agents heard from and the flows.
- * Guarded by the lock of {@link FlowBalancer}.
+ * The tables that the parts of a balancer share: fleet state, targets, agents and flows. Guarded by
+ * the lock of {@link FlowBalancer}.
  */
 final class BalancerTables {
   private final ForwardingPolicy policy;
@@ -45,11 +45,11 @@
     this.pools = TargetPools.empty(policy, zone);
   }
 
-  void takeState(FleetState newer, long nowMs) {
+  void updateState(FleetState newer, long nowMs) {
     state = newer;
     stateAtMs = nowMs;
     if (newer.configuration().version() > 0) {
-      unlistedTargets.hasState(nowMs);
+      unlistedTargets.recordState(nowMs);
     }
     pools = pools.update(newer, nowMs);
   }
@@ -58,7 +58,6 @@
     return state.configuration();
   }
 
-  /** Returns the balancer's zone. */
   String zone() {
     return zone;
   }
@@ -80,26 +79,27 @@
     return pools.slots();
   }
 
-  /** Returns the targets that may take a new flow of a service, or null if none is known. */
+  /**
+   * Returns the targets that are candidates for a new flow of a service, or null if none is known.
+   */
   @Nullable
   TargetPool candidatesOf(String service, long nowMs) {
     return unlistedTargets.candidatesOf(
         service, pools.ofService(service), state.evacuations(), nowMs);
   }
 
-  /** Returns whether all targets of a service are in evacuated zones: no wait brings one. */
+  /** Returns whether all targets of a service are in evacuated zones, so that waiting is futile. */
   boolean isEvacuated(String service) {
     TargetPool listed = pools.ofService(service);
     return listed != null && listed.isEvacuated();
   }
 
-  /** Returns whether targets of a service are cold and have got as many flows as they bear. */
+  /** Returns whether a cold target of a service has reached its limit of new flows. */
   boolean hasColdAtLimit(String service, long nowMs) {
     TargetPool listed = pools.ofService(service);
     return listed != null && listed.hasColdAtLimit(nowMs);
   }
 
-  /** Returns which agents are heard from. */
   AgentDirectory agents() {
     return agents;
   }
@@ -119,7 +119,7 @@
     flows.put(flow.id(), flow);
   }
 
-  void forget(BalancerFlow flow) {
+  void remove(BalancerFlow flow) {
     flow.moveTo(null);
     flows.remove(flow.id());
   }
@@ -131,12 +131,16 @@
   private ForwardTerms termsOf(BalancerFlow flow, TargetSlot target) {
     ForwardingConfiguration configuration = state.configuration();
     long version = configuration.version();
-    // Made once for each configuration, since it would be for every segment.
+    // The terms are cached per flow and created again only when they change, to avoid an allocation
+    // for every segment.
     ForwardTerms known = flow.terms();
-    // The agent gives back what is meant for another service, whose target had the address before.
+    // An agent returns a segment that names another service than its target's, as happens after the
+    // address has passed to a target of another service.
     String service = target.record().service();
     boolean isCurrent = known != null && known.configurationVersion() == version;
-    if (isCurrent && known.insists() == flow.insists() && known.service().equals(service)) {
+    if (isCurrent
+        && known.insists() == flow.overridesEjection()
+        && known.service().equals(service)) {
       return known;
     }
     ForwardTerms terms = newTermsOf(flow, service, configuration);
@@ -153,20 +157,23 @@
         route == null ? 0 : route.timeoutMs(),
         configuration.coldStartOf(service).openingsPerS(),
         route != null && route.repeatable(),
-        flow.insists());
+        flow.overridesEjection());
   }
 
   /**
-   * Returns whether targets of a service may get a segment of a flow of unknown place: its route
-   * has the service, or had it when the flow may have been opened.
+   * Returns whether targets of a service may be sent a segment of a flow whose target is unknown:
+   * the flow's route has the service, or had it when the flow may have been opened.
    */
   boolean mayHold(BalancerFlow flow, String service) {
     ForwardingRoute route = state.configuration().routeOf(flow.id());
-    boolean shares = route != null && route.sharesFlowsWith(service);
-    return shares || service.equals(flow.service());
+    boolean routeHasService = route != null && route.sharesFlowsWith(service);
+    return routeHasService || service.equals(flow.service());
   }
 
-  /** Returns a service that may hold a flow of unknown place, or null if the flow has no route. */
+  /**
+   * Returns the most likely service of a flow that is not in the table, or null if the flow has no
+   * route.
+   */
   @Nullable
   String likelyServiceOf(FlowId id) {
     ForwardingRoute route = state.configuration().routeOf(id);
@@ -174,11 +181,11 @@
       return null;
     }
     String service = route.serviceOf(id);
-    // If no service takes new flows now, any one of them may hold open ones.
+    // If no service of the route takes new flows, any one of them may still hold open ones.
     return service != null ? service : route.services().get(0).service();
   }
 
-  /** Returns the pools of the services that may hold a flow, the likeliest one first. */
+  /** Returns the pools of the services that may hold a flow, the most likely one first. */
   List<TargetPool> poolsOf(BalancerFlow flow) {
     Set<String> services = new LinkedHashSet<>();
     services.add(flow.service());
@@ -205,23 +212,23 @@
         return slot;
       }
     }
-    AgentDirectory.HeardAgent agent = agents.get(address);
+    AgentDirectory.KnownAgent agent = agents.get(address);
     return agent == null ? null : agent.slot();
   }
 
-  /** Returns the target beside an agent, of whatever service, or null if none is known there. */
+  /** Returns the target of an agent, of any service, or null if none is known at its address. */
   @Nullable
-  TargetSlot targetBeside(BalancerFlow flow, int agentAddress) {
+  TargetSlot targetOfAgent(BalancerFlow flow, int agentAddress) {
     TargetSlot slot = slotAt(flow, agentAddress);
     return slot == null ? pools.at(agentAddress) : slot;
   }
 
-  /** Forgets flows that have ended or rested for long, and agents that have long been silent. */
+  /** Evicts closed and idle flows after their retention periods, and stale agents. */
   void sweep(long nowMs) {
     for (Iterator<BalancerFlow> all = flows.values().iterator(); all.hasNext(); ) {
       BalancerFlow flow = all.next();
-      int memoryMs = flow.isClosed() ? policy.memory().closedFlowMs() : policy.memory().flowMs();
-      if (!flow.isSearching() && nowMs - flow.lastUsedMs() > memoryMs) {
+      int retentionMs = flow.isClosed() ? policy.memory().closedFlowMs() : policy.memory().flowMs();
+      if (!flow.isSearching() && nowMs - flow.lastUsedMs() > retentionMs) {
         flow.moveTo(null);
         all.remove();
       }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -17,41 +17,42 @@
 import java.util.List;
 
 /**
- * The balancer's decisions: which target gets a new flow, and where the segments of an open flow
- * go. Thread-safe: each call holds the lock of this shard of flows.
+ * Handles the events of one shard of flows: places new flows at targets, forwards the segments of
+ * open flows and locates flows whose target is unknown. Thread-safe: each call holds the lock of
+ * the shard.
  */
 public final class FlowBalancer {
   /**
-   * Segments of clients that are kept until a configuration is known. Not measured; chosen so that
-   * they take some 3 MB at most.
+   * The maximum number of client segments buffered until the first configuration arrives. They take
+   * up to about 3 MB.
    */
   private static final int MAX_EARLY_SEGMENTS = 2_048;
 
   /**
-   * For how long such a segment is worth handling. Not measured; chosen so that it lies between the
-   * client's copies after 600 and 1,400 ms.
+   * How long a buffered segment stays valid, in milliseconds. The bound lies between the client's
+   * retransmissions after 600 and 1,400 ms.
    */
-  private static final int EARLY_MEMORY_MS = 1_000;
+  private static final int EARLY_SEGMENT_TTL_MS = 1_000;
 
   private final ForwardingPolicy policy;
   private final BalancerActions actions;
   private final BalancerTables tables;
   private final FlowOpener opener;
   private final FlowLocator locator;
-  private final boolean keepsEarlySegments;
+  private final boolean buffersEarlySegments;
   private final List<EarlySegment> earlySegments = new ArrayList<>();
 
-  /** A client's segment that came before this balancer knew any configuration. */
+  /** A client segment that arrived before the first configuration. */
   private record EarlySegment(Segment segment, byte[] datagram, long atMs) {}
 
   /**
    * Creates a balancer without state.
    *
-   * @param policy times and bounds
+   * @param policy timeouts, limits and enabled mechanisms
    * @param zone the balancer's zone
-   * @param actions takes what is decided
-   * @param log takes each decision
-   * @param nowMs the time of the start
+   * @param actions executes the decisions
+   * @param log records each decision
+   * @param nowMs the start time, in milliseconds of the monotonic clock
    */
   public FlowBalancer(
       ForwardingPolicy policy, String zone, BalancerActions actions, DecisionLog log, long nowMs) {
@@ -60,56 +61,61 @@
     this.tables = new BalancerTables(policy, zone, actions, nowMs);
     this.opener = new FlowOpener(policy, actions, log, tables);
     this.locator = new FlowLocator(policy, actions, log, tables);
-    this.keepsEarlySegments = policy.uses(Mechanism.EARLY_SEGMENTS);
+    this.buffersEarlySegments = policy.uses(Mechanism.EARLY_SEGMENTS);
   }
 
-  /** Takes a newer state. */
+  /**
+   * Applies a newer fleet state, retries waiting openings, and handles the buffered early segments
+   * if the state has a configuration.
+   */
   public synchronized void onState(FleetState newer, long nowMs) {
-    tables.takeState(newer, nowMs);
-    opener.onTargets(nowMs);
+    tables.updateState(newer, nowMs);
+    opener.retryWaiting(nowMs);
     if (newer.configuration().version() > 0) {
       handleEarlySegments(nowMs);
     }
   }
 
-  // A segment that is handled late is answered sooner than one that its client has to repeat.
+  // Handling a buffered segment late still gives a faster response than waiting for the client's
+  // next retransmission.
   private void handleEarlySegments(long nowMs) {
     List<EarlySegment> early = new ArrayList<>(earlySegments);
     earlySegments.clear();
     for (EarlySegment segment : early) {
-      if (nowMs - segment.atMs() <= EARLY_MEMORY_MS) {
+      if (nowMs - segment.atMs() <= EARLY_SEGMENT_TTL_MS) {
         onClientSegment(segment.segment(), ByteBuffer.wrap(segment.datagram()), nowMs);
       }
     }
   }
 
-  /** The configuration source has confirmed that the state is current until some time. */
+  /** Records until when the configuration source has confirmed the state as current. */
   public synchronized void onConfirmed(long untilMs) {
     opener.onConfirmed(untilMs);
   }
 
   /**
-   * Takes what an agent reports of its target.
+   * Records an agent's report about its target. If the agent has become active, queries it for the
+   * flows being searched for and retries waiting openings.
    *
-   * @return whether the agent was silent or unknown before
+   * @return whether the agent was unknown or inactive before and is not stopping
    */
-  public synchronized boolean onAgent(AgentReport report, long nowMs) {
-    boolean appeared = tables.agents().hear(report, nowMs);
+  public synchronized boolean onAgentReport(AgentReport report, long nowMs) {
+    boolean becameActive = tables.agents().recordReport(report, nowMs);
     TargetSlot unlisted = tables.agents().get(report.address()).slot();
-    report(unlisted, report, nowMs);
+    updateSlot(unlisted, report, nowMs);
     for (TargetSlot slot : tables.slots()) {
       if (slot.address() == report.address() && slot.record().phase() != TargetPhase.GONE) {
-        report(slot, report, nowMs);
+        updateSlot(slot, report, nowMs);
       }
     }
-    if (appeared) {
-      locator.askAppearedAgent(unlisted, report.service(), nowMs);
-      opener.onTargets(nowMs);
+    if (becameActive) {
+      locator.queryAvailableAgent(unlisted, report.service(), nowMs);
+      opener.retryWaiting(nowMs);
     }
-    return appeared;
+    return becameActive;
   }
 
-  private void report(TargetSlot slot, AgentReport report, long nowMs) {
+  private void updateSlot(TargetSlot slot, AgentReport report, long nowMs) {
     slot.reportBusy(report.busyFlows(), nowMs);
     slot.heard(nowMs);
     slot.reportEjected(report.targetUnfit(), policy.opening().suspicionMs(), nowMs);
@@ -118,20 +124,23 @@
     }
   }
 
-  /** Returns how many agents have sent a beacon of late. */
-  public synchronized int heardAgentCount(long nowMs) {
-    return tables.agents().heardCount(nowMs);
+  /** Returns how many agents have sent a beacon within {@code agentSilenceMs}. */
+  public synchronized int activeAgentCount(long nowMs) {
+    return tables.agents().activeCount(nowMs);
   }
 
-  /** Returns whether agents have been heard from before, and none of them within some time. */
+  /**
+   * Returns whether agents are known, but none of them has sent a beacon within the last {@code
+   * periodMs} milliseconds.
+   */
   public synchronized boolean hasLostAllAgents(int periodMs, long nowMs) {
     return tables.agents().hasLostAll(periodMs, nowMs);
   }
 
-  /** Takes a segment from a client. */
+  /** Handles a segment from a client. */
   public synchronized void onClientSegment(Segment segment, ByteBuffer datagram, long nowMs) {
     if (tables.configuration().version() == 0) {
-      keepEarly(segment, datagram, nowMs);
+      bufferEarlySegment(segment, datagram, nowMs);
       return;
     }
     if (segment.kind() == Segment.Kind.OPEN) {
@@ -142,18 +151,18 @@
     if (flow == null) {
       locator.locate(segment, datagram, nowMs);
     } else {
-      goOn(flow, segment, datagram, nowMs);
+      continueFlow(flow, segment, datagram, nowMs);
     }
   }
 
-  private void keepEarly(Segment segment, ByteBuffer datagram, long nowMs) {
-    if (keepsEarlySegments && earlySegments.size() < MAX_EARLY_SEGMENTS) {
+  private void bufferEarlySegment(Segment segment, ByteBuffer datagram, long nowMs) {
+    if (buffersEarlySegments && earlySegments.size() < MAX_EARLY_SEGMENTS) {
       earlySegments.add(new EarlySegment(segment, Datagrams.copyOf(datagram), nowMs));
     }
   }
 
-  private void goOn(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
-    flow.used(nowMs);
+  private void continueFlow(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
+    flow.markUsed(nowMs);
     Search search = flow.search();
     if (search != null) {
       search.hold(datagram, policy.search().maxHeldSegments());
@@ -175,13 +184,13 @@
   }
 
   /**
-   * Takes a segment that an agent gives back.
+   * Handles a segment that an agent returned to this balancer.
    *
-   * @param agentAddress the agent's machine
-   * @param reason why it gives the segment back
-   * @param agentVersion the newest configuration that the agent has seen in effect
+   * @param agentAddress the address of the agent's machine
+   * @param reason why the agent returned the segment
+   * @param agentVersion the newest configuration version that the agent has seen in effect
    */
-  public synchronized void onGivenBack(
+  public synchronized void onReturned(
       int agentAddress,
       GiveBackReason reason,
       long agentVersion,
@@ -189,38 +198,41 @@
       ByteBuffer datagram,
       long nowMs) {
     if (segment.kind() == Segment.Kind.OPEN) {
-      opener.onGivenBack(agentAddress, reason, agentVersion, segment, datagram, nowMs);
+      opener.onReturned(agentAddress, reason, agentVersion, segment, datagram, nowMs);
     } else {
-      locator.notHeld(agentAddress, segment, datagram, nowMs);
+      locator.onNotHeld(agentAddress, segment, datagram, nowMs);
     }
   }
 
-  /** Takes an answer of an agent or another balancer about a flow. */
-  public synchronized void onKnowledge(
-      int peerAddress, FlowId id, FlowKnowledge knowledge, int targetAddress, long nowMs) {
-    locator.onKnowledge(peerAddress, id, knowledge, targetAddress, nowMs);
+  /** Handles the response of an agent or another balancer to a query about a flow. */
+  public synchronized void onQueryResult(
+      int peerAddress, FlowId id, FlowKnowledge result, int targetAddress, long nowMs) {
+    locator.onQueryResult(peerAddress, id, result, targetAddress, nowMs);
   }
 
-  /** Answers another balancer: the address of the target that holds a flow, 0 if unknown. */
+  /** Returns the address of the target known to hold a flow, for another balancer; 0 if unknown. */
   public synchronized int knownTarget(FlowId id) {
     BalancerFlow flow = tables.flow(id);
     TargetSlot holder = flow == null ? null : flow.confirmedTarget();
     return holder == null ? 0 : holder.address();
   }
 
-  /** Handles what is due; called every few tens of milliseconds. */
+  /**
+   * Handles expired waits and sends the batched queries. The caller invokes this every few tens of
+   * milliseconds.
+   */
   public synchronized void onTick(long nowMs) {
     locator.onTick(nowMs);
     opener.onTick(nowMs);
     actions.flush();
   }
 
-  /** Forgets flows that have ended or rested for long; called about once a second. */
+  /** Evicts closed and idle flows and stale agents. The caller invokes this about once a second. */
   public synchronized void onSweep(long nowMs) {
     tables.sweep(nowMs);
   }
 
-  /** Returns the number of flows that this balancer remembers. */
+  /** Returns the number of flows in this balancer's flow table. */
   public synchronized int flowCount() {
     return tables.flowCount();
   }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
@@ -13,22 +13,22 @@
 import java.util.List;
 
 /**
- * Finds the target of flows that this balancer does not know: asks agents and other balancers, and
- * offers a segment to one target after the other if nobody remembers. Guarded by the lock of {@link
- * FlowBalancer}.
+ * Locates the target of flows that this balancer does not know: queries agents and other balancers,
+ * and offers a segment to one target after another if none of them can name the holder. Guarded by
+ * the lock of {@link FlowBalancer}.
  *
- * <p>This class takes what happens (segments, answers, time) and moves each {@link Search} on. What
- * it goes by are three rules: {@link SearchQuestions} tells whom to ask, {@link SearchOffers} which
- * targets are offered a segment, and {@link SearchVerdict} how a search ends that has found nobody.
- * A question may go to any agent; a segment is offered only to targets of services that the flow's
- * route has or is known to have had.
+ * <p>This class handles the events (segments, responses, time) and advances each {@link Search}.
+ * {@link SearchQueries} selects the agents to query, {@link SearchOffers} selects the targets that
+ * are offered a segment, and {@link SearchVerdict} decides how a search without a result ends. Any
+ * agent may be queried; a segment is offered only to targets of services that the flow's route has
+ * or is known to have had.
  */
 final class FlowLocator {
   private final SearchSettings settings;
   private final BalancerActions actions;
   private final DecisionLog log;
   private final BalancerTables tables;
-  private final SearchQuestions questions;
+  private final SearchQueries queries;
   private final SearchOffers offers;
   private final List<Search> searches = new ArrayList<>();
 
@@ -38,47 +38,50 @@
     this.actions = actions;
     this.log = log;
     this.tables = tables;
-    this.questions = new SearchQuestions(settings, actions, tables);
+    this.queries = new SearchQueries(settings, actions, tables);
     this.offers = new SearchOffers(settings, log, tables);
   }
 
-  /** Takes a segment of an open flow that an agent gives back: its target does not hold it. */
-  void notHeld(int agentAddress, Segment segment, ByteBuffer datagram, long nowMs) {
+  /**
+   * Handles a segment of an open flow that an agent returned because its target does not hold the
+   * flow.
+   */
+  void onNotHeld(int agentAddress, Segment segment, ByteBuffer datagram, long nowMs) {
     BalancerFlow flow = tables.flow(segment.flow());
     if (flow == null) {
       locate(segment, datagram, nowMs);
       return;
     }
-    flow.denyAt(agentAddress);
+    flow.addNonHolder(agentAddress);
     Search ended = flow.endedSearch();
     Search search = flow.search();
     if (ended != null) {
-      offerReturnedLate(ended, datagram, nowMs);
+      onLateOfferReturn(ended, datagram, nowMs);
     } else if (search != null) {
-      returnedInSearch(search, agentAddress, nowMs);
+      onReturnDuringSearch(search, agentAddress, nowMs);
     } else {
-      returnedByTarget(flow, agentAddress, segment, datagram, nowMs);
+      onReturnWithoutSearch(flow, agentAddress, segment, datagram, nowMs);
     }
   }
 
-  private void returnedInSearch(Search search, int agentAddress, long nowMs) {
+  private void onReturnDuringSearch(Search search, int agentAddress, long nowMs) {
     TargetSlot offeredTo = search.flow().offeredTo();
     if (offeredTo != null && offeredTo.address() == agentAddress) {
-      search.flow().returnOffer();
+      search.flow().markOfferReturned();
       offerNext(search, nowMs);
     }
   }
 
-  private void returnedByTarget(
+  private void onReturnWithoutSearch(
       BalancerFlow flow, int agentAddress, Segment segment, ByteBuffer datagram, long nowMs) {
     TargetSlot target = flow.target();
     if (target != null && target.address() != agentAddress) {
-      // A late return; the flow has been found elsewhere meanwhile.
+      // A late return: the flow has been located at another target in the meantime.
       tables.send(flow, target, datagram);
       return;
     }
-    // One that got an earlier copy of the opening segment may have accepted it.
-    TargetSlot other = flow.takeLastTried();
+    // A target that received an earlier copy of the opening segment may have accepted it.
+    TargetSlot other = flow.removeLastTried();
     if (other != null) {
       flow.moveTo(other);
       long ageMs = nowMs - flow.openedAtMs();
@@ -89,25 +92,26 @@
     startSearch(flow, segment, datagram, nowMs);
   }
 
-  // A busy machine has returned the offered segment late: the search goes on where it was.
-  private void offerReturnedLate(Search search, ByteBuffer datagram, long nowMs) {
+  // An overloaded machine returned the offered segment only after the offer timeout. The search
+  // resumes with its remaining candidates, so that the agents are not queried again.
+  private void onLateOfferReturn(Search search, ByteBuffer datagram, long nowMs) {
     BalancerFlow flow = search.flow();
     flow.endSearch();
     TargetSlot target = flow.target();
-    if (target != null && !flow.isDeniedBy(target.address())) {
-      // Another target has returned a segment; the one that the flow is at may still hold it.
+    if (target != null && !flow.isNonHolder(target.address())) {
+      // The segment came from another target; the current one may still hold the flow.
       tables.send(flow, target, datagram);
       return;
     }
-    flow.searchWith(search);
+    flow.beginSearch(search);
     searches.add(search);
-    search.holdAnew(datagram, settings.maxHeldSegments());
+    search.replaceHeld(datagram, settings.maxHeldSegments());
     long ageMs = tables.ageOfState(nowMs);
     log.decided(Decision.ASKED, flow.id(), 0, "offer-returned-late", ageMs);
     offerNext(search, nowMs);
   }
 
-  /** Begins the search for a flow that a client goes on with. */
+  /** Starts the search for the target of an open flow that is not in the flow table. */
   void locate(Segment segment, ByteBuffer datagram, long nowMs) {
     String service = tables.likelyServiceOf(segment.flow());
     if (service == null) {
@@ -120,131 +124,134 @@
     startSearch(flow, segment, datagram, nowMs);
   }
 
-  /** Begins the search for a known flow whose target is lost or wrong. */
+  /** Starts the search for a flow whose target is unknown or has turned out not to hold it. */
   void startSearch(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
-    TargetSlot excluded = flow.target();
+    TargetSlot previous = flow.target();
     Search search = new Search(flow, segment.acknowledged(), nowMs);
     search.hold(datagram, settings.maxHeldSegments());
-    flow.searchWith(search);
+    flow.beginSearch(search);
     searches.add(search);
-    String reason = excluded == null ? "unknown" : "not-held";
-    int address = excluded == null ? 0 : excluded.address();
+    String reason = previous == null ? "unknown" : "not-held";
+    int address = previous == null ? 0 : previous.address();
     log.decided(Decision.ASKED, flow.id(), address, reason, tables.ageOfState(nowMs));
-    questions.askFirst(search, nowMs);
+    queries.queryFirstRound(search, nowMs);
   }
 
-  /** An agent has started or is back: it may know the flows that are being looked for. */
-  void askAppearedAgent(TargetSlot agent, String service, long nowMs) {
+  /** Queries an agent that has become active for all flows being searched for. */
+  void queryAvailableAgent(TargetSlot agent, String service, long nowMs) {
     for (Search search : searches) {
-      questions.askAppeared(search, agent, service, nowMs);
+      queries.queryAvailable(search, agent, service, nowMs);
     }
   }
 
-  /** Takes an answer of an agent or another balancer about a flow. */
-  void onKnowledge(
-      int peerAddress, FlowId id, FlowKnowledge knowledge, int targetAddress, long nowMs) {
-    tables.agents().answered(peerAddress);
+  /** Handles the response of an agent or another balancer to a query about a flow. */
+  void onQueryResult(
+      int peerAddress, FlowId id, FlowKnowledge result, int targetAddress, long nowMs) {
+    tables.agents().recordResponse(peerAddress);
     BalancerFlow flow = tables.flow(id);
     if (flow == null) {
       return;
     }
     Search search = flow.search();
     if (search == null) {
-      if (flow.endedSearch() != null && knowledge == FlowKnowledge.HELD) {
-        toldLate(flow, targetAddress, nowMs);
+      if (flow.endedSearch() != null && result == FlowKnowledge.HELD) {
+        onHolderReportedLate(flow, targetAddress, nowMs);
       }
       return;
     }
-    switch (knowledge) {
-      case HELD, KNOWN_ELSEWHERE -> toldHolder(search, knowledge, targetAddress, nowMs);
-      case LOST -> toldLost(search, peerAddress);
-      case UNKNOWN, UNLIKELY, NOT_HELD -> answered(search, peerAddress, knowledge, nowMs);
+    switch (result) {
+      case HELD, KNOWN_ELSEWHERE -> onHolderReported(search, result, targetAddress, nowMs);
+      case LOST -> onLossReported(search, peerAddress);
+      case UNKNOWN, UNLIKELY, NOT_HELD -> onAgentResponse(search, peerAddress, result, nowMs);
     }
   }
 
-  private void toldHolder(Search search, FlowKnowledge knowledge, int targetAddress, long nowMs) {
+  private void onHolderReported(
+      Search search, FlowKnowledge result, int targetAddress, long nowMs) {
     BalancerFlow flow = search.flow();
-    // Another balancer may believe what this one has just found to be wrong.
-    boolean denied = flow.isDeniedBy(targetAddress);
-    TargetSlot holder = denied ? null : tables.targetBeside(flow, targetAddress);
+    // Another balancer may name a target that has already returned a segment of the flow here.
+    boolean isNonHolder = flow.isNonHolder(targetAddress);
+    TargetSlot holder = isNonHolder ? null : tables.targetOfAgent(flow, targetAddress);
     if (holder == null) {
       return;
     }
-    boolean held = knowledge == FlowKnowledge.HELD;
+    boolean held = result == FlowKnowledge.HELD;
     if (held || tables.mayHold(flow, holder.record().service())) {
       end(search);
-      flow.foundAt(holder, held);
+      flow.setHolder(holder, held);
       sendHeld(search, holder, "told-by-peer", nowMs);
     } else {
-      // Another service may have taken the address since: the agent there knows.
-      questions.askNamed(search, holder, nowMs);
+      // Another service may have taken over the address since, so the agent there is queried.
+      queries.queryNamed(search, holder, nowMs);
     }
   }
 
-  private void toldLost(Search search, int peerAddress) {
+  private void onLossReported(Search search, int peerAddress) {
     BalancerFlow flow = search.flow();
     actions.reset(flow.id(), search.acknowledged());
     log.decided(Decision.RESET_LOST, flow.id(), peerAddress, "told-by-agent", -1);
     end(search);
-    tables.forget(flow);
+    tables.remove(flow);
   }
 
-  // The answer has come only after the segment was offered to another target.
-  private void toldLate(BalancerFlow flow, int targetAddress, long nowMs) {
-    TargetSlot holder = tables.targetBeside(flow, targetAddress);
-    if (holder == null || flow.isDeniedBy(targetAddress)) {
+  // The response arrived only after another target had kept the offered segment.
+  private void onHolderReportedLate(BalancerFlow flow, int targetAddress, long nowMs) {
+    TargetSlot holder = tables.targetOfAgent(flow, targetAddress);
+    if (holder == null || flow.isNonHolder(targetAddress)) {
       return;
     }
     flow.endSearch();
-    flow.foundAt(holder, true);
+    flow.setHolder(holder, true);
     long ageMs = nowMs - flow.lastUsedMs();
     log.decided(Decision.LOCATED, flow.id(), targetAddress, "told-late", ageMs);
   }
 
-  private void answered(Search search, int agentAddress, FlowKnowledge knowledge, long nowMs) {
-    TargetSlot slot = search.takeAnswered(agentAddress);
+  private void onAgentResponse(Search search, int agentAddress, FlowKnowledge result, long nowMs) {
+    TargetSlot slot = search.removePending(agentAddress);
     if (slot == null) {
       return;
     }
-    offers.takeAnswer(search, slot, knowledge);
-    if (!search.hasUnanswered() && search.hasAgentsToAsk()) {
-      questions.askNextRound(search, nowMs);
-    } else if (search.isWaitingForNothing()) {
-      askElsewhereOrOffer(search, nowMs);
+    offers.addResponse(search, slot, result);
+    if (!search.hasPending() && search.hasAgentsToQuery()) {
+      queries.queryNextRound(search, nowMs);
+    } else if (search.hasNothingPending()) {
+      queryOtherServicesOrOffer(search, nowMs);
     }
   }
 
-  /** Goes on with searches that have waited long enough for answers to questions or offers. */
+  /** Advances the searches whose wait for a response, an offer or a pause has expired. */
   void onTick(long nowMs) {
     for (Search search : new ArrayList<>(searches)) {
       if (search.isDue(nowMs)) {
-        goOn(search, nowMs);
+        advance(search, nowMs);
       }
     }
   }
 
-  private void goOn(Search search, long nowMs) {
+  private void advance(Search search, long nowMs) {
     TargetSlot offeredTo = search.flow().offeredTo();
     if (offeredTo != null) {
-      keptOffer(search, offeredTo, nowMs);
-    } else if (search.hasAgentsToAsk()) {
-      questions.askNextRound(search, nowMs);
-    } else if (search.hasUnanswered() || !search.isElsewhereAsked()) {
-      search.giveUpUnanswered();
-      askElsewhereOrOffer(search, nowMs);
+      onOfferKept(search, offeredTo, nowMs);
+    } else if (search.hasAgentsToQuery()) {
+      queries.queryNextRound(search, nowMs);
+    } else if (search.hasPending() || !search.areOtherServicesQueried()) {
+      search.markPendingUnresponsive();
+      queryOtherServicesOrOffer(search, nowMs);
     } else {
-      questions.askAgain(search, nowMs);
-      if (!search.hasUnanswered()) {
+      queries.queryAgain(search, nowMs);
+      if (!search.hasPending()) {
         offerNext(search, nowMs);
       }
     }
   }
 
-  // All agents of the route's services have been asked, and none has the flow: those of others may,
-  // and have to be asked before a segment is offered to a target that most likely lacks the flow.
-  private void askElsewhereOrOffer(Search search, long nowMs) {
-    questions.askElsewhere(search, nowMs);
-    if (search.isWaitingForNothing()) {
+  // All agents of the route's services have been queried, and none reported the flow. A target of
+  // another service may hold it, so those agents are queried before a segment is offered to a
+  // target
+  // that most likely does not hold the flow.
+  private void queryOtherServicesOrOffer(Search search, long nowMs) {
+    queries.queryOtherServices(search, nowMs);
+    if (search.hasNothingPending()) {
       offerNext(search, nowMs);
     }
   }
@@ -255,11 +262,11 @@
     }
   }
 
-  private void keptOffer(Search search, TargetSlot holder, long nowMs) {
+  private void onOfferKept(Search search, TargetSlot holder, long nowMs) {
     BalancerFlow flow = search.flow();
     search.dropOfferedSegment();
     searches.remove(search);
-    flow.keepOffer();
+    flow.markOfferKept();
     sendHeld(search, holder, "kept-offer", nowMs);
   }
 
@@ -279,13 +286,14 @@
         log.decided(Decision.RESET_LOST, flow.id(), 0, "held-by-none", ageMs);
         actions.reset(flow.id(), search.acknowledged());
         end(search);
-        tables.forget(flow);
+        tables.remove(flow);
       }
-      case ASK_AGAIN -> search.waitUntil(nowMs + settings.pauseMs());
+      case QUERY_AGAIN -> search.waitUntil(nowMs + settings.pauseMs());
       case GIVE_UP -> {
-        int absent = search.firstAbsentAddress();
-        log.decided(Decision.NOT_FOUND, flow.id(), absent, "nobody-knows", ageMs);
-        // What has returned a segment is not offered another one when the client repeats it.
+        int unresponsive = search.firstUnresponsiveAddress();
+        log.decided(Decision.NOT_FOUND, flow.id(), unresponsive, "nobody-knows", ageMs);
+        // The flow stays in the table with its known non-holders, so that they are not offered the
+        // client's retransmission.
         searches.remove(search);
         flow.giveUpSearch();
       }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
@@ -13,18 +13,18 @@
 import javax.annotation.Nullable;
 
 /**
- * Gives new flows to targets, again if a target refuses, and keeps those that have to wait. Guarded
- * by the lock of {@link FlowBalancer}.
+ * Places new flows at targets, retries elsewhere when a target rejects a flow, and holds openings
+ * that have to wait. Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>This class takes what happens (openings, returns, states, time) and sends openings on. Which
- * target gets one is chosen by {@link TargetPool}; {@link OpeningRepeats} tells whether an opening
- * is placed again or refused, and {@link WaitingOpenings} which ones wait.
+ * <p>This class handles the events (openings, returned openings, new states, time) and forwards the
+ * opening segments. {@link TargetPool} chooses the target, {@link OpeningRetries} decides whether
+ * an opening is placed again or rejected, and {@link WaitingOpenings} holds the waiting ones.
  */
 final class FlowOpener {
   private final BalancerActions actions;
   private final DecisionLog log;
   private final BalancerTables tables;
-  private final OpeningRepeats repeats;
+  private final OpeningRetries retries;
   private final WaitingOpenings waiting;
   private long confirmedUntilMs = Long.MIN_VALUE;
 
@@ -33,29 +33,29 @@
     this.actions = actions;
     this.log = log;
     this.tables = tables;
-    this.repeats = new OpeningRepeats(policy.opening(), tables);
+    this.retries = new OpeningRetries(policy.opening(), tables);
     this.waiting = new WaitingOpenings(policy.opening());
   }
 
-  /** The configuration source has confirmed that the state is current until some time. */
+  /** Records until when the configuration source has confirmed the state as current. */
   void onConfirmed(long untilMs) {
     confirmedUntilMs = untilMs;
   }
 
-  // ---- openings that waited ----
+  // ---- waiting openings ----
 
-  /** Opens the flows that have waited for a newer state or for a target. */
-  void onTargets(long nowMs) {
-    for (WaitingOpenings.Opening opening : waiting.takeAll()) {
-      if (mayOpen(opening, nowMs)) {
+  /** Opens the waiting flows whose configuration or target has become available. */
+  void retryWaiting(long nowMs) {
+    for (WaitingOpenings.Opening opening : waiting.removeAll()) {
+      if (isReadyToOpen(opening, nowMs)) {
         open(opening.segment(), ByteBuffer.wrap(opening.datagram()), nowMs);
       } else {
-        waiting.putBack(opening);
+        waiting.restore(opening);
       }
     }
   }
 
-  private boolean mayOpen(WaitingOpenings.Opening opening, long nowMs) {
+  private boolean isReadyToOpen(WaitingOpenings.Opening opening, long nowMs) {
     return opening.waitsForTarget()
         ? hasTarget(opening.segment(), nowMs)
         : opening.version() <= tables.configuration().version();
@@ -68,18 +68,21 @@
     return pool != null && pool.choose(segment.flow(), List.of(), nowMs) != null;
   }
 
-  /** Ends the waits that have taken too long. */
+  /**
+   * Removes the expired waiting openings: resets those that waited for a target, and drops those
+   * that waited for a configuration.
+   */
   void onTick(long nowMs) {
-    for (WaitingOpenings.Opening opening : waiting.takeOverdue(nowMs)) {
+    for (WaitingOpenings.Opening opening : waiting.removeExpired(nowMs)) {
       if (opening.waitsForTarget()) {
         resetOpening(opening.segment(), "no-target-came", nowMs);
       }
     }
   }
 
-  // ---- openings of clients ----
+  // ---- openings from clients ----
 
-  /** Takes an opening segment: the first of its flow, or a copy. */
+  /** Handles an opening segment, either the first one of its flow or a retransmission. */
   void open(Segment segment, ByteBuffer datagram, long nowMs) {
     ForwardingRoute route = tables.configuration().routeOf(segment.flow());
     if (route == null) {
@@ -90,12 +93,13 @@
     if (flow == null || flow.isNotFound()) {
       openNew(route.serviceOf(segment.flow()), segment, datagram, nowMs);
     } else {
-      openCopy(flow, segment, datagram, nowMs);
+      openRetransmitted(flow, segment, datagram, nowMs);
     }
   }
 
   private void openWithoutRoute(Segment segment, long nowMs) {
-    // Only a configuration that is known to be current may say that there is no route.
+    // A reset is safe only if the configuration is confirmed as current: an outdated one may lack a
+    // route that exists.
     if (nowMs <= confirmedUntilMs) {
       log.decided(
           Decision.RESET_NO_ROUTE, segment.flow(), 0, "confirmed", tables.ageOfState(nowMs));
@@ -116,19 +120,20 @@
     place(flow, segment, datagram, "new", nowMs);
   }
 
-  private void openCopy(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
-    flow.used(nowMs);
+  private void openRetransmitted(
+      BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
+    flow.markUsed(nowMs);
     TargetSlot target = flow.target();
-    switch (repeats.copyOf(flow, nowMs)) {
-      case PLACED -> place(flow, segment, datagram, "copy", nowMs);
+    switch (retries.destinationOf(flow, nowMs)) {
+      case PLACE_AS_NEW -> place(flow, segment, datagram, "copy", nowMs);
       case SAME_TARGET -> {
         log.decided(
             Decision.REPEATED, flow.id(), target.address(), "copy", tables.ageOfState(nowMs));
-        flow.openAgain();
+        flow.countRetransmission();
         tables.send(flow, target, datagram);
       }
       case OTHER_TARGET -> {
-        repeats.leaveOut(target, GiveBackReason.SILENT, nowMs);
+        retries.exclude(target, GiveBackReason.SILENT, nowMs);
         flow.addTried(target);
         place(flow, segment, datagram, "unanswered", nowMs);
       }
@@ -140,7 +145,7 @@
     TargetPool pool = tables.candidatesOf(flow.service(), nowMs);
     TargetSlot chosen = pool == null ? null : pool.choose(flow.id(), flow.tried(), nowMs);
     if (chosen == null) {
-      refuse(flow, segment, datagram, nowMs);
+      waitOrReject(flow, segment, datagram, nowMs);
       return;
     }
     Decision decision = flow.tried().isEmpty() ? Decision.PLACED : Decision.PLACED_AGAIN;
@@ -149,18 +154,18 @@
     tables.send(flow, chosen, datagram);
   }
 
-  private void refuse(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
-    if (flow.hasUnreturnedOpens()) {
-      // A target may still accept: a reset could hit an open flow.
+  private void waitOrReject(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
+    if (flow.hasUnreturnedOpenings()) {
+      // A target may still accept the opening, and a reset could break the open flow.
       flow.clearTried();
       return;
     }
-    tables.forget(flow);
-    OpeningRepeats.Refusal refusal = repeats.refusalOf(flow, nowMs);
+    tables.remove(flow);
+    OpeningRetries.Rejection rejection = retries.rejectionOf(flow, nowMs);
     boolean waits =
-        refusal == OpeningRepeats.Refusal.MAY_WAIT && waitForTarget(segment, datagram, nowMs);
+        rejection == OpeningRetries.Rejection.MAY_WAIT && waitForTarget(segment, datagram, nowMs);
     if (!waits) {
-      resetOpening(segment, refusal.reason(), nowMs);
+      resetOpening(segment, rejection.reason(), nowMs);
     }
   }
 
@@ -181,10 +186,10 @@
     actions.reset(segment.flow(), segment.acknowledged());
   }
 
-  // ---- openings that agents give back ----
+  // ---- openings returned by agents ----
 
-  /** Takes an opening segment that an agent gives back. */
-  void onGivenBack(
+  /** Handles an opening segment that an agent returned. */
+  void onReturned(
       int agentAddress,
       GiveBackReason reason,
       long agentVersion,
@@ -193,39 +198,39 @@
       long nowMs) {
     BalancerFlow flow = tables.flow(segment.flow());
     if (flow != null) {
-      flow.openReturned();
+      flow.countReturnedOpening();
     }
     if (reason == GiveBackReason.OLD_CONFIGURATION) {
-      forgetUnlessOpen(flow);
+      removeUnlessOpen(flow);
       waitForConfiguration(agentAddress, agentVersion, segment, datagram, nowMs);
     } else if (flow != null) {
-      boolean placedThere = leaveOut(flow, agentAddress, reason, nowMs);
-      // Another copy may have been placed elsewhere meanwhile.
-      if (flow.target() == null || placedThere) {
+      boolean wasPlacedThere = exclude(flow, agentAddress, reason, nowMs);
+      // A retransmission may have been placed at another target in the meantime.
+      if (flow.target() == null || wasPlacedThere) {
         place(flow, segment, datagram, reason.name(), nowMs);
       }
     }
   }
 
-  // Leaves out the target beside an agent; returns whether the flow was placed there last.
-  private boolean leaveOut(BalancerFlow flow, int agentAddress, GiveBackReason reason, long nowMs) {
+  // Excludes the target of an agent; returns whether the flow was last placed there.
+  private boolean exclude(BalancerFlow flow, int agentAddress, GiveBackReason reason, long nowMs) {
     TargetSlot target = flow.target();
-    boolean placedThere = target != null && target.address() == agentAddress;
-    // The source may list the target only since the segment was sent.
-    TargetSlot refusing = placedThere ? target : tables.slotAt(flow, agentAddress);
-    if (refusing != null) {
-      if (!flow.tried().contains(refusing)) {
-        flow.addTried(refusing);
+    boolean wasPlacedThere = target != null && target.address() == agentAddress;
+    // The source may have listed the target only after the segment was sent.
+    TargetSlot rejecting = wasPlacedThere ? target : tables.slotAt(flow, agentAddress);
+    if (rejecting != null) {
+      if (!flow.tried().contains(rejecting)) {
+        flow.addTried(rejecting);
       }
-      repeats.leaveOut(refusing, reason, nowMs);
+      retries.exclude(rejecting, reason, nowMs);
     }
-    return placedThere;
+    return wasPlacedThere;
   }
 
-  // The flow is opened anew under the newer configuration.
-  private void forgetUnlessOpen(@Nullable BalancerFlow flow) {
-    if (flow != null && !flow.hasUnreturnedOpens() && !flow.isAnswered()) {
-      tables.forget(flow);
+  // The flow is opened again under the newer configuration.
+  private void removeUnlessOpen(@Nullable BalancerFlow flow) {
+    if (flow != null && !flow.hasUnreturnedOpenings() && !flow.isAnswered()) {
+      tables.remove(flow);
     }
   }
 
@@ -242,6 +247,6 @@
         "older-than-agent",
         tables.ageOfState(nowMs));
     waiting.addForConfiguration(segment, datagram, version, nowMs);
-    actions.catchUp(agentAddress, version);
+    actions.fetchState(agentAddress, version);
   }
 }
--- /dev/null
+++ b/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
@@ -0,0 +1,133 @@
+package io.moorstage.core.balancer;
+
+import io.moorstage.core.message.GiveBackReason;
+import io.moorstage.core.placement.TargetPool;
+import io.moorstage.core.placement.TargetSlot;
+import io.moorstage.core.settings.OpeningSettings;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Decides whether an opening that its first target has not accepted is retried, where, and when it
+ * is rejected. Guarded by the lock of {@link FlowBalancer}.
+ *
+ * <p>Inputs: the reason why an agent returned the opening, or a retransmission from the client; the
+ * targets that have been tried; the time of each agent's last report; and the candidates of the
+ * service, as of the newest state and of the agents' reports, which arrive every 100 ms to 500 ms.
+ *
+ * <p>A returned opening is placed at the next target at once, at each candidate once. A
+ * retransmission goes to the same target if the client has sent a later segment, if the target
+ * accepts new flows, is not suspect and its agent has reported since the opening, or if there is no
+ * other candidate. Otherwise the target is treated as unresponsive and the retransmission goes to
+ * another one. When no candidate is left, the opening is rejected as described by {@link
+ * Rejection}, unless a target that received it may still accept it: a reset could break an open
+ * flow.
+ *
+ * <p>A target that returned an opening gets no new flows for {@code suspicionMs}, or longer if it
+ * has left openings unanswered before; a cold one gets none for {@value #COLD_PAUSE_MS} ms. A full
+ * target is excluded for this flow only.
+ */
+final class OpeningRetries {
+  /**
+   * How long, in milliseconds, a balancer excludes a cold target that has rejected a flow. The
+   * target accepts new flows again within a second; a dozen balancers that each try five times a
+   * second cause some 60 returned openings a second at the agent.
+   */
+  private static final int COLD_PAUSE_MS = 200;
+
+  private final OpeningSettings settings;
+  private final BalancerTables tables;
+
+  /** The destination of a retransmitted opening segment. */
+  enum Destination {
+    /** The flow has no target and is placed like a new one. */
+    PLACE_AS_NEW,
+    /** The target that received the previous copy. */
+    SAME_TARGET,
+    /** Another target, since the first one has neither answered nor rejected the opening. */
+    OTHER_TARGET
+  }
+
+  /** The handling of an opening for which no candidate is left. */
+  enum Rejection {
+    /** Reset: all targets are in evacuated zones, so waiting would not help. */
+    EVACUATED("evacuated"),
+    /** Reset: cold targets have reached their limit of new flows. */
+    COLD("cold"),
+    /** No target has rejected the opening: it may wait for a target, and is reset otherwise. */
+    MAY_WAIT("no-target"),
+    /** Reset: every candidate has rejected the opening or left it unanswered. */
+    NO_TARGET("no-target");
+
+    private final String reason;
+
+    Rejection(String reason) {
+      this.reason = reason;
+    }
+
+    /** Returns the reason that is logged for a reset. */
+    String reason() {
+      return reason;
+    }
+  }
+
+  OpeningRetries(OpeningSettings settings, BalancerTables tables) {
+    this.settings = settings;
+    this.tables = tables;
+  }
+
+  /** Returns the destination of a retransmission of a flow's opening segment. */
+  Destination destinationOf(BalancerFlow flow, long nowMs) {
+    TargetSlot target = flow.target();
+    if (target == null || flow.isSearching()) {
+      return Destination.PLACE_AS_NEW;
+    }
+    boolean keepsTarget =
+        flow.isAnswered()
+            || mayStillAnswer(flow, target, nowMs)
+            || !hasAlternative(flow, target, nowMs);
+    return keepsTarget ? Destination.SAME_TARGET : Destination.OTHER_TARGET;
+  }
+
+  private static boolean mayStillAnswer(BalancerFlow flow, TargetSlot target, long nowMs) {
+    return target.takesNewFlows()
+        && target.heardSince(flow.openedAtMs())
+        && !target.isSuspect(nowMs);
+  }
+
+  private boolean hasAlternative(BalancerFlow flow, TargetSlot target, long nowMs) {
+    if (!target.takesNewFlows()) {
+      return true;
+    }
+    TargetPool pool = tables.candidatesOf(flow.service(), nowMs);
+    List<TargetSlot> excluded = new ArrayList<>(flow.tried());
+    excluded.add(target);
+    return pool != null && pool.choose(flow.id(), excluded, nowMs) != null;
+  }
+
+  /**
+   * Excludes a target from new flows that has returned an opening or left it unanswered. A full
+   * target is not excluded from other flows.
+   */
+  void exclude(TargetSlot target, GiveBackReason reason, long nowMs) {
+    int suspicionMs = settings.suspicionMs();
+    switch (reason) {
+      case SILENT, ENDED -> target.suspect(suspicionMs, nowMs);
+      case COLD -> target.pauseCold(COLD_PAUSE_MS, nowMs);
+      case UNFIT -> target.reportEjected(true, suspicionMs, nowMs);
+      case FULL -> {}
+      default -> target.avoid(suspicionMs, nowMs);
+    }
+  }
+
+  /** Returns how to handle an opening for which no candidate is left. */
+  Rejection rejectionOf(BalancerFlow flow, long nowMs) {
+    if (tables.isEvacuated(flow.service())) {
+      return Rejection.EVACUATED;
+    }
+    if (tables.hasColdAtLimit(flow.service(), nowMs)) {
+      return Rejection.COLD;
+    }
+    return flow.tried().isEmpty() ? Rejection.MAY_WAIT : Rejection.NO_TARGET;
+  }
+}
--- a/core/src/main/java/io/moorstage/core/balancer/PossibleHolders.java
+++ b/core/src/main/java/io/moorstage/core/balancer/PossibleHolders.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /**
- * Tells which targets may hold a flow of unknown place. Guarded by the lock of {@link
+ * Lists the targets that may hold a flow whose target is unknown. Guarded by the lock of {@link
  * FlowBalancer}.
  */
 final class PossibleHolders {
@@ -24,15 +24,15 @@
 
   /**
    * Returns all targets that may hold a flow, of the services that its route has or is known to
-   * have had, in the order in which a new flow would be given to them: most flows are held by one
-   * of the first four. An address may occur twice, with targets of two services.
+   * have had, in the order of preference for a new flow: most flows are held by one of the first
+   * four. An address may occur twice, with targets of two services.
    */
   List<TargetSlot> inOrder(BalancerFlow flow, long nowMs) {
     Holders holders = new Holders(flow, nowMs);
     for (TargetPool pool : tables.poolsOf(flow)) {
       pool.slots().forEach(holders::addListed);
     }
-    for (AgentDirectory.HeardAgent agent : tables.agents().all()) {
+    for (AgentDirectory.KnownAgent agent : tables.agents().all()) {
       if (tables.mayHold(flow, agent.service())) {
         holders.addUnlisted(agent);
       }
@@ -41,18 +41,19 @@
   }
 
   /**
-   * Returns the targets of all other services: one of them holds the flow if its route had the
-   * service before this balancer learned of any configuration. Their agents may be asked; a segment
-   * must not be offered to them.
+   * Returns the targets of all services. A target of a service that the flow's route is not known
+   * to have had holds the flow if the route had that service before this balancer received its
+   * first configuration. The agents of such targets may be queried, but a segment must not be
+   * offered to the targets.
    */
-  List<TargetSlot> elsewhereInOrder(BalancerFlow flow, long nowMs) {
+  List<TargetSlot> allServicesInOrder(BalancerFlow flow, long nowMs) {
     Holders holders = new Holders(flow, nowMs);
     tables.slots().forEach(holders::addListed);
     tables.agents().all().forEach(holders::addUnlisted);
     return holders.inOrder();
   }
 
-  /** Targets that may hold one flow, gathered by their services. */
+  /** Targets that may hold one flow, grouped by service. */
   private final class Holders {
     private final BalancerFlow flow;
     private final long nowMs;
@@ -64,43 +65,44 @@
     }
 
     private void addListed(TargetSlot slot) {
-      // A target that has gone, and whose agent has fallen silent, has ended with its flows. An
-      // agent that stops after its target says so: searches would wait for its answer for 1.8 s
-      // otherwise.
+      // A target that is gone and whose agent is unresponsive has ended, and its flows with it. An
+      // agent that stops after its target reports the end of the target. Without that report,
+      // searches would wait 1.8 s for the agent's response.
       boolean gone = slot.record().phase() == TargetPhase.GONE;
       boolean ended =
-          (gone && tables.agents().isSilent(slot.address(), nowMs))
+          (gone && tables.agents().isUnresponsive(slot.address(), nowMs))
               || tables.agents().hasTargetEnded(slot.address());
       if (!ended) {
         add(slot);
       }
     }
 
-    // A target may serve on though the source never listed it since this balancer has started.
-    private void addUnlisted(AgentDirectory.HeardAgent agent) {
+    // A target may still serve flows although the source has not listed it since this balancer
+    // started.
+    private void addUnlisted(AgentDirectory.KnownAgent agent) {
       int address = agent.slot().address();
       boolean ended = tables.agents().hasTargetEnded(address);
-      if (!ended && tables.agents().isHeard(address, nowMs)) {
+      if (!ended && tables.agents().isActive(address, nowMs)) {
         add(agent.slot());
       }
     }
 
     private void add(TargetSlot slot) {
-      if (!flow.isDeniedBy(slot.address())) {
+      if (!flow.isNonHolder(slot.address())) {
         byService
             .computeIfAbsent(slot.record().service(), service -> new HashMap<>())
             .putIfAbsent(slot.address(), slot);
       }
     }
 
-    /** Returns the likeliest few targets of each service, and then all others. */
+    /** Returns the most likely targets of each service, followed by all others. */
     private List<TargetSlot> inOrder() {
       Set<TargetSlot> first = new LinkedHashSet<>();
       List<TargetSlot> all = new ArrayList<>();
       for (Map<Integer, TargetSlot> targets : byService.values()) {
         List<TargetSlot> ranked =
             TargetPool.byLikelihood(targets.values(), tables.zone(), flow.id());
-        first.addAll(ranked.subList(0, Math.min(SearchQuestions.FIRST_ASKED, ranked.size())));
+        first.addAll(ranked.subList(0, Math.min(SearchQueries.FIRST_ROUND_SIZE, ranked.size())));
         all.addAll(ranked);
       }
       first.addAll(all);
--- a/core/src/main/java/io/moorstage/core/balancer/Search.java
+++ b/core/src/main/java/io/moorstage/core/balancer/Search.java
@@ -14,34 +14,36 @@
 import javax.annotation.Nullable;
 
 /**
- * The search for the target that holds one flow: which agents are asked, which have answered, and
- * which targets have been offered a segment. It only keeps the state; {@link SearchQuestions},
- * {@link SearchOffers} and {@link SearchVerdict} are the rules. Guarded by the lock of {@link
- * FlowBalancer}.
+ * The state of the search for the target that holds one flow: the agents to query, the pending
+ * queries and the candidates for offers. The rules are in {@link SearchQueries}, {@link
+ * SearchOffers} and {@link SearchVerdict}. Guarded by the lock of {@link FlowBalancer}.
  */
 final class Search {
 
-  /** How a balancer stands with the place of a flow. */
-  sealed interface Stage permits Settled, Searching, KeptOffer, NotFound {}
+  /** The stage of locating the target of a flow. */
+  sealed interface Stage permits Idle, Searching, KeptOffer, NotFound {}
 
-  /** The flow is not searched for: it is at its target, or none has been looked for yet. */
-  record Settled() implements Stage {}
+  /** No search is in progress: the target is set, or no search has started yet. */
+  record Idle() implements Stage {}
 
   /** A search is in progress. */
-  sealed interface Searching extends Stage permits Asking, Offered {
+  sealed interface Searching extends Stage permits Querying, Offered {
     Search search();
   }
 
-  /** The search waits for answers to questions, or rests before it asks again. */
-  record Asking(Search search) implements Searching {}
+  /** The search waits for responses to queries, or pauses before it queries again. */
+  record Querying(Search search) implements Searching {}
 
-  /** A target has been offered a segment, and has not returned it so far. */
+  /** A target has been offered a segment and has not returned it so far. */
   record Offered(Search search, TargetSlot target) implements Searching {}
 
-  /** A target has not returned its offer in time: it counts as the holder, unless it does yet. */
+  /**
+   * The target did not return the offered segment in time and is treated as the holder unless it
+   * returns the segment later.
+   */
   record KeptOffer(Search search) implements Stage {}
 
-  /** The last search found neither the flow nor that nobody holds it. */
+  /** The last search ended without a result: it neither located the flow nor proved it lost. */
   record NotFound() implements Stage {}
 
   private final BalancerFlow flow;
@@ -49,26 +51,28 @@
   private final long startedAtMs;
   private final List<byte[]> heldSegments = new ArrayList<>(2);
 
-  /** Addresses of all targets that may hold the flow, the likeliest first. */
+  /** Addresses of all targets that may hold the flow, the most likely first. */
   private final List<Integer> byLikelihood = new ArrayList<>();
 
-  /** Targets whose agents are to be asked yet, the likeliest first. */
-  private final Deque<TargetSlot> toAsk = new ArrayDeque<>();
+  /** Targets whose agents are still to be queried, the most likely first. */
+  private final Deque<TargetSlot> toQuery = new ArrayDeque<>();
 
-  /** Targets whose agents have been asked and may still answer. */
-  private final List<TargetSlot> unanswered = new ArrayList<>();
+  /** Targets whose agents have been queried and may still respond. */
+  private final List<TargetSlot> pending = new ArrayList<>();
 
-  /** Targets that may hold the flow, and whose agents have not answered. */
-  private final List<TargetSlot> absent = new ArrayList<>(0);
+  /** Targets that may hold the flow and whose agents have not responded in time. */
+  private final List<TargetSlot> unresponsive = new ArrayList<>(0);
 
-  /** Targets that may hold the flow as far as their agents can tell. */
+  /**
+   * Targets that may be offered a segment: their agents could not rule out that they hold the flow.
+   */
   private final List<TargetSlot> candidates = new ArrayList<>(0);
 
-  private boolean balancersAsked;
-  private boolean elsewhereAsked;
-  private int nextAsked;
-  private int offersInRow;
-  private int maxOffersInRow;
+  private boolean balancersQueried;
+  private boolean otherServicesQueried;
+  private int nextRoundSize;
+  private int offersInBatch;
+  private int maxOffersInBatch;
   private long deadlineMs;
 
   Search(BalancerFlow flow, int acknowledged, long nowMs) {
@@ -81,7 +85,10 @@
     return flow;
   }
 
-  /** Returns up to which sequence number the client has the target's data: a reset needs it. */
+  /**
+   * Returns the sequence number up to which the client has acknowledged the target's data. A reset
+   * carries it.
+   */
   int acknowledged() {
     return acknowledged;
   }
@@ -90,7 +97,7 @@
     return startedAtMs;
   }
 
-  /** Waits for answers or for an offer to be returned, or rests, until some time. */
+  /** Sets the end of the wait for responses or for the return of an offer, or of a pause. */
   void waitUntil(long newDeadlineMs) {
     deadlineMs = newDeadlineMs;
   }
@@ -99,20 +106,20 @@
     return deadlineMs <= nowMs;
   }
 
-  /** Returns whether this has asked all and waits for no answer or offer. */
-  boolean isWaitingForNothing() {
-    return toAsk.isEmpty() && unanswered.isEmpty() && flow.offeredTo() == null;
+  /** Returns whether all agents have been queried and no response or offer is pending. */
+  boolean hasNothingPending() {
+    return toQuery.isEmpty() && pending.isEmpty() && flow.offeredTo() == null;
   }
 
-  /** Keeps a segment for the holder, up to some number of them. */
+  /** Holds a segment for the holder, unless {@code maxHeld} segments are held already. */
   void hold(ByteBuffer datagram, int maxHeld) {
     if (heldSegments.size() < maxHeld) {
       heldSegments.add(Datagrams.copyOf(datagram));
     }
   }
 
-  /** Keeps a segment that has come back, instead of those held before. */
-  void holdAnew(ByteBuffer datagram, int maxHeld) {
+  /** Holds a returned segment and discards those held before. */
+  void replaceHeld(ByteBuffer datagram, int maxHeld) {
     heldSegments.clear();
     hold(datagram, maxHeld);
   }
@@ -121,7 +128,7 @@
     return ByteBuffer.wrap(heldSegments.get(0));
   }
 
-  /** A target has kept the offered segment, which need not be sent to it again. */
+  /** Discards the offered segment, since the target that kept it already has it. */
   void dropOfferedSegment() {
     heldSegments.remove(0);
   }
@@ -130,111 +137,115 @@
     return heldSegments;
   }
 
-  /** Adds targets whose agents are to be asked, unless they are already. */
-  void addToAsk(List<TargetSlot> slots) {
+  /** Adds targets whose agents are to be queried, except those added before. */
+  void addToQuery(List<TargetSlot> slots) {
     Set<Integer> known = new HashSet<>(byLikelihood);
     for (TargetSlot slot : slots) {
       if (known.add(slot.address())) {
         byLikelihood.add(slot.address());
-        toAsk.add(slot);
+        toQuery.add(slot);
       }
     }
   }
 
-  /** Adds a target as the least likely one; returns false if it is known already. */
+  /** Adds a target as the least likely one; returns false if it was added before. */
   boolean addLeastLikely(int address) {
     return !byLikelihood.contains(address) && byLikelihood.add(address);
   }
 
-  /** Returns how likely a target is to hold the flow, 0 for the likeliest; -1 if not known. */
+  /** Returns the rank of a target, 0 for the most likely holder; -1 if it was not added. */
   int likelihoodRank(int address) {
     return byLikelihood.indexOf(address);
   }
 
-  boolean hasAgentsToAsk() {
-    return !toAsk.isEmpty();
+  boolean hasAgentsToQuery() {
+    return !toQuery.isEmpty();
   }
 
-  TargetSlot pollAgentToAsk() {
-    return toAsk.remove();
+  TargetSlot pollAgentToQuery() {
+    return toQuery.remove();
   }
 
-  void asked(TargetSlot slot) {
-    unanswered.add(slot);
+  void addPending(TargetSlot slot) {
+    pending.add(slot);
   }
 
-  /** A target's agent is away: it is asked, but not waited for. */
-  void notWaitedFor(TargetSlot slot) {
-    absent.add(slot);
+  /** Adds a target whose agent is unresponsive; the search does not wait for its response. */
+  void addUnresponsive(TargetSlot slot) {
+    unresponsive.add(slot);
   }
 
-  /** The other balancers are asked; returns whether they have not been before. */
-  boolean markBalancersAsked() {
-    boolean isNew = !balancersAsked;
-    balancersAsked = true;
+  /** Records that the other balancers are queried; returns false if they have been before. */
+  boolean markBalancersQueried() {
+    boolean isNew = !balancersQueried;
+    balancersQueried = true;
     return isNew;
   }
 
-  /** Agents of all other services are asked; returns whether they have not been before. */
-  boolean markElsewhereAsked() {
-    boolean isNew = !elsewhereAsked;
-    elsewhereAsked = true;
+  /**
+   * Records that agents of all other services are queried; returns false if they have been before.
+   */
+  boolean markOtherServicesQueried() {
+    boolean isNew = !otherServicesQueried;
+    otherServicesQueried = true;
     return isNew;
   }
 
-  /** Returns whether agents of services that the route is not known to have had are asked too. */
-  boolean isElsewhereAsked() {
-    return elsewhereAsked;
+  /** Returns whether agents of services that the route is not known to have had are queried too. */
+  boolean areOtherServicesQueried() {
+    return otherServicesQueried;
   }
 
-  int nextAsked() {
-    return nextAsked;
+  int nextRoundSize() {
+    return nextRoundSize;
   }
 
-  /** Sets how many agents the next round of questions goes to. */
-  void widenTo(int count) {
-    nextAsked = count;
+  /** Sets how many agents the next round queries. */
+  void setNextRoundSize(int count) {
+    nextRoundSize = count;
   }
 
-  boolean hasUnanswered() {
-    return !unanswered.isEmpty();
+  boolean hasPending() {
+    return !pending.isEmpty();
   }
 
-  /** Waits no longer for the agents that have not answered. */
-  void giveUpUnanswered() {
-    absent.addAll(unanswered);
-    unanswered.clear();
+  /** Stops waiting for the agents that have not responded. */
+  void markPendingUnresponsive() {
+    unresponsive.addAll(pending);
+    pending.clear();
   }
 
-  /** Puts the agents that have not answered back among those to ask; returns how many. */
-  int askAbsentAgain() {
-    int count = absent.size();
-    toAsk.addAll(absent);
-    absent.clear();
+  /** Queues the agents that have not responded to be queried again; returns their number. */
+  int requeueUnresponsive() {
+    int count = unresponsive.size();
+    toQuery.addAll(unresponsive);
+    unresponsive.clear();
     return count;
   }
 
-  boolean hasAbsent() {
-    return !absent.isEmpty();
+  boolean hasUnresponsive() {
+    return !unresponsive.isEmpty();
   }
 
-  /** Returns the address of the likeliest agent that has not answered, 0 if all have. */
-  int firstAbsentAddress() {
-    return absent.isEmpty() ? 0 : absent.get(0).address();
+  /** Returns the address of the first agent that has not responded in time; 0 if there is none. */
+  int firstUnresponsiveAddress() {
+    return unresponsive.isEmpty() ? 0 : unresponsive.get(0).address();
   }
 
-  /** Removes the target of an agent that has answered; null if no answer was open. */
+  /**
+   * Removes and returns the target of an agent that has responded; null if no query was pending.
+   */
   @Nullable
-  TargetSlot takeAnswered(int agentAddress) {
-    TargetSlot slot = removeAt(unanswered, agentAddress);
-    return slot == null ? removeAt(absent, agentAddress) : slot;
+  TargetSlot removePending(int agentAddress) {
+    TargetSlot slot = removeAt(pending, agentAddress);
+    return slot == null ? removeAt(unresponsive, agentAddress) : slot;
   }
 
-  /** Removes a target from those to ask and those without an answer: it is asked anew. */
-  void forgetQuestion(int agentAddress) {
-    removeAt(toAsk, agentAddress);
-    removeAt(absent, agentAddress);
-    removeAt(unanswered, agentAddress);
+  /** Removes a target from all lists of queries, so that its agent can be queried again. */
+  void cancelQuery(int agentAddress) {
+    removeAt(toQuery, agentAddress);
+    removeAt(unresponsive, agentAddress);
+    removeAt(pending, agentAddress);
   }
 
   @Nullable
@@ -257,8 +268,8 @@
     return candidates.size();
   }
 
-  /** Removes the likeliest target that may be offered a segment; there has to be one. */
-  TargetSlot takeLikeliestCandidate() {
+  /** Removes and returns the most likely candidate; there must be at least one. */
+  TargetSlot removeLikeliestCandidate() {
     TargetSlot likeliest = candidates.get(0);
     for (TargetSlot slot : candidates) {
       if (candidateRank(slot) < candidateRank(likeliest)) {
@@ -274,26 +285,26 @@
     return rank < 0 ? byLikelihood.size() : rank;
   }
 
-  /** Returns whether no offer has been made since the search began or last rested. */
-  boolean hasRested() {
-    return offersInRow == 0;
+  /** Returns whether no offer has been made since the search started or last paused. */
+  boolean isBatchStart() {
+    return offersInBatch == 0;
   }
 
-  /** Returns whether a further offer may be made before the search rests. */
-  boolean mayOfferInRow() {
-    return offersInRow < maxOffersInRow;
+  /** Returns whether another offer may be made before the search pauses. */
+  boolean mayOfferInBatch() {
+    return offersInBatch < maxOffersInBatch;
   }
 
-  /** Sets how many offers in a row may be made. */
-  void setMaxOffersInRow(int max) {
-    maxOffersInRow = max;
+  /** Sets how many offers may be made before the search pauses. */
+  void setMaxOffersInBatch(int max) {
+    maxOffersInBatch = max;
   }
 
   void countOffer() {
-    offersInRow++;
+    offersInBatch++;
   }
 
-  void rest() {
-    offersInRow = 0;
+  void resetBatch() {
+    offersInBatch = 0;
   }
 }
--- a/core/src/main/java/io/moorstage/core/balancer/SearchOffers.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchOffers.java
@@ -7,37 +7,40 @@
 import io.moorstage.core.settings.SearchSettings;
 
 /**
- * The rule for the offers of a search: which targets are offered a segment of the flow, when, and
- * how many of them? Guarded by the lock of {@link FlowBalancer}.
+ * Makes the offers of a search: selects which targets are offered a segment of the flow, when, and
+ * how many of them. Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>Inputs: what each agent has answered within this search; the flow's route, as of the newest
- * state; which agents have not answered; and the offers made so far.
+ * <p>Inputs: the agents' responses within this search; the flow's route, as of the newest state;
+ * the agents that have not responded; and the offers made so far.
  *
- * <p>A target is offered a segment if its agent cannot deny the flow, and its service is one that
- * the flow's route has or is known to have had. A target that is unlikely to hold the flow is
- * offered it only if it is one of the {@link SearchQuestions#FIRST_ASKED} likeliest. Offers go out
- * one at a time, the likeliest target first, and only once no agent is waited for: a target returns
- * at once what it does not hold, and counts as the holder if it keeps the segment for {@code
- * offerTimeoutMs}. After a number of offers in a row the search rests for {@code pauseMs}, and asks
- * again. While an agent that may know the flow has not answered, only {@value #MAX_BLIND_OFFERS}
- * offers are made in all.
+ * <p>A target is a candidate if its agent cannot rule out that it holds the flow, and its service
+ * is one that the flow's route has or is known to have had. A target reported as unlikely to hold
+ * the flow is a candidate only if it is one of the {@link SearchQueries#FIRST_ROUND_SIZE} most
+ * likely. Offers are made one at a time, the most likely target first, and only when no response is
+ * pending: a target returns a segment of an unknown flow at once, and is treated as the holder if
+ * it keeps the segment for {@code offerTimeoutMs}. After a batch of offers the search pauses for
+ * {@code pauseMs} and then queries again. While an agent that may know the flow has not responded,
+ * at most {@value #MAX_SPECULATIVE_OFFERS} offers are made for the flow.
  *
- * <p>An agent that has run for less than the memory of a flow cannot tell; its target can. Each
- * wrong offer reaches a target that lacks the flow, so they are few, and never many at once after a
- * fault that has cost all nodes their memory.
+ * <p>An agent that has run for less than the time a flow is remembered does not know all flows of
+ * its target; the target does. Each wrong offer reaches a target that does not hold the flow, so
+ * offers are few, and limited in rate after a fault in which all nodes have lost their state.
  */
 final class SearchOffers {
-  /** Offers in a row, or a quarter of all if that is more, so that all are made within 0.6 s. */
-  private static final int MAX_OFFERS = 8;
+  /**
+   * The number of offers before a pause, or a quarter of all candidates if that is more, so that
+   * all offers are made within 0.6 s.
+   */
+  private static final int MIN_BATCH_SIZE = 8;
 
-  /** Four rests of 150 ms each make the 0.6 s. */
-  private static final int ROUNDS_OF_OFFERS = 4;
+  /** The number of batches that cover all candidates; four pauses of 150 ms each make 0.6 s. */
+  private static final int BATCHES = 4;
 
   /**
-   * Offers of a flow while an agent that may know it has not answered: the flow may be there, and
-   * then a third segment at a wrong target would be one too many.
+   * The maximum number of offers for a flow while an agent that may know it has not responded. The
+   * flow may be at that agent's target, and three segments sent to wrong targets break a flow.
    */
-  static final int MAX_BLIND_OFFERS = 2;
+  static final int MAX_SPECULATIVE_OFFERS = 2;
 
   private final SearchSettings settings;
   private final DecisionLog log;
@@ -49,51 +52,51 @@
     this.tables = tables;
   }
 
-  /** Takes what an agent has answered of its target: it may be offered a segment, or not. */
-  void takeAnswer(Search search, TargetSlot slot, FlowKnowledge knowledge) {
-    boolean possible = mayHold(search, slot.address(), knowledge);
+  /** Adds the target of an agent that has responded to the candidates if it may hold the flow. */
+  void addResponse(Search search, TargetSlot slot, FlowKnowledge result) {
+    boolean possible = mayHold(search, slot.address(), result);
     if (possible && tables.mayHold(search.flow(), slot.record().service())) {
       search.addCandidate(slot);
     }
   }
 
-  private static boolean mayHold(Search search, int address, FlowKnowledge knowledge) {
-    if (knowledge == FlowKnowledge.UNLIKELY) {
+  private static boolean mayHold(Search search, int address, FlowKnowledge result) {
+    if (result == FlowKnowledge.UNLIKELY) {
       int rank = search.likelihoodRank(address);
-      return rank >= 0 && rank < SearchQuestions.FIRST_ASKED;
+      return rank >= 0 && rank < SearchQueries.FIRST_ROUND_SIZE;
     }
-    return knowledge == FlowKnowledge.UNKNOWN;
+    return result == FlowKnowledge.UNKNOWN;
   }
 
   /**
-   * Offers a segment to the next target, or rests if enough have been offered one in a row.
+   * Offers a segment to the next candidate, or pauses the search at the end of a batch.
    *
-   * @return false if no target may be offered one now
+   * @return false if no target may be offered a segment now
    */
   boolean offerNext(Search search, long nowMs) {
-    boolean blind = search.hasAbsent();
-    boolean mayOffer = !blind || search.flow().blindOffers() < MAX_BLIND_OFFERS;
+    boolean speculative = search.hasUnresponsive();
+    boolean mayOffer = !speculative || search.flow().speculativeOffers() < MAX_SPECULATIVE_OFFERS;
     if (search.candidateCount() == 0 || !mayOffer) {
       return false;
     }
-    if (search.hasRested()) {
-      search.setMaxOffersInRow(Math.max(MAX_OFFERS, search.candidateCount() / ROUNDS_OF_OFFERS));
+    if (search.isBatchStart()) {
+      search.setMaxOffersInBatch(Math.max(MIN_BATCH_SIZE, search.candidateCount() / BATCHES));
     }
-    if (search.mayOfferInRow()) {
-      offer(search, blind, nowMs);
+    if (search.mayOfferInBatch()) {
+      offer(search, speculative, nowMs);
     } else {
-      search.rest();
+      search.resetBatch();
       search.waitUntil(nowMs + settings.pauseMs());
     }
     return true;
   }
 
-  private void offer(Search search, boolean blind, long nowMs) {
+  private void offer(Search search, boolean speculative, long nowMs) {
     BalancerFlow flow = search.flow();
-    TargetSlot target = search.takeLikeliestCandidate();
+    TargetSlot target = search.removeLikeliestCandidate();
     search.countOffer();
-    if (blind) {
-      flow.countBlindOffer();
+    if (speculative) {
+      flow.countSpeculativeOffer();
     }
     flow.offerTo(target);
     search.waitUntil(nowMs + settings.offerTimeoutMs());
--- a/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
+++ b/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
@@ -10,21 +10,22 @@
 import javax.annotation.Nullable;
 
 /**
- * The rule that tells which targets may take a new flow of a service: those that the source lists,
- * or also those that only their agents speak for? Guarded by the lock of {@link FlowBalancer}.
+ * Decides which targets are candidates for a new flow of a service: only those that the source
+ * lists, or also unlisted ones whose agents are active. Guarded by the lock of {@link
+ * FlowBalancer}.
  *
  * <p>Inputs: the listed targets of the service, as of the newest state; the agents that have sent a
  * beacon within {@code agentSilenceMs}; the evacuations in force; and the time since the balancer's
  * first state, in milliseconds.
  *
- * <p>Within {@code unlistedMs} of the first state, and if more agents beside unlisted targets are
- * heard than listed targets are ready, both kinds are candidates; otherwise the listed ones alone.
- * Targets in an evacuated zone are left out.
+ * <p>Within {@code unlistedMs} of the first state, and if the active agents of unlisted targets
+ * outnumber the listed ready targets, both kinds are candidates; otherwise only the listed ones
+ * are. Unlisted targets in an evacuated zone are excluded.
  *
- * <p>A source that was down forgets targets that could not renew their entries, and lists them one
- * by one when it is back. A balancer that starts just then would send all flows to the few that are
- * listed; the agents beside the others tell that they are there. An agent that knows its target to
- * be leaving gives back what it gets.
+ * <p>During an outage of the source, the entries of targets that cannot renew them expire, and the
+ * source lists the targets one by one when it is available again. A balancer that starts at that
+ * time would send all flows to the few listed targets, while beacons show that the others are
+ * running. An agent whose target is leaving returns the openings that it receives.
  */
 final class UnlistedTargets {
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -32,38 +33,38 @@
   private final ForwardingPolicy policy;
   private final String zone;
   private final AgentDirectory agents;
-  private final boolean takesUnlisted;
+  private final boolean includesUnlisted;
   private long firstStateAtMs = NEVER;
 
   UnlistedTargets(ForwardingPolicy policy, String zone, AgentDirectory agents) {
     this.policy = policy;
     this.zone = zone;
     this.agents = agents;
-    this.takesUnlisted = policy.uses(Mechanism.UNLISTED_TARGETS);
+    this.includesUnlisted = policy.uses(Mechanism.UNLISTED_TARGETS);
   }
 
-  /** Notes that the balancer has a state with a configuration. */
-  void hasState(long nowMs) {
+  /** Records that the balancer has received a state with a configuration. */
+  void recordState(long nowMs) {
     if (firstStateAtMs == NEVER) {
       firstStateAtMs = nowMs;
     }
   }
 
   /**
-   * Returns the targets that may take a new flow of a service, or null if none is known.
+   * Returns the targets that are candidates for a new flow of a service, or null if none is known.
    *
    * @param listed the service's targets that the source lists, or null if it lists none
    */
   @Nullable
   TargetPool candidatesOf(
       String service, @Nullable TargetPool listed, Evacuations evacuations, long nowMs) {
-    boolean recent = nowMs - firstStateAtMs <= policy.opening().unlistedMs();
-    if (!recent || !takesUnlisted) {
+    boolean recentlyStarted = nowMs - firstStateAtMs <= policy.opening().unlistedMs();
+    if (!recentlyStarted || !includesUnlisted) {
       return listed;
     }
     List<TargetSlot> unlisted = unlistedOf(service, listed, evacuations, nowMs);
     int ready = listed == null ? 0 : listed.readyCount();
-    // One or two agents may be beside targets that are about to end; most of them are not.
+    // A minority of unlisted targets may be about to end; a majority is not.
     if (unlisted.size() <= ready) {
       return listed;
     }
@@ -77,10 +78,10 @@
   private List<TargetSlot> unlistedOf(
       String service, @Nullable TargetPool listed, Evacuations evacuations, long nowMs) {
     List<TargetSlot> unlisted = new ArrayList<>();
-    for (AgentDirectory.HeardAgent agent : agents.all()) {
+    for (AgentDirectory.KnownAgent agent : agents.all()) {
       int address = agent.slot().address();
       boolean isListed = listed != null && listed.at(address) != null;
-      boolean serves = agent.service().equals(service) && agents.isHeard(address, nowMs);
+      boolean serves = agent.service().equals(service) && agents.isActive(address, nowMs);
       boolean evacuated = evacuations.isInForce(agent.slot().record().zone());
       if (serves && !isListed && !evacuated) {
         unlisted.add(agent.slot());
--- a/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
@@ -10,27 +10,31 @@
 import java.util.List;
 
 /**
- * The rule for openings that wait at the balancer: for what, and for how long? Guarded by the lock
- * of {@link FlowBalancer}.
+ * Holds the openings that wait at the balancer, and limits their number and waiting time. Guarded
+ * by the lock of {@link FlowBalancer}.
  *
- * <p>Inputs: the opening segment; the configuration that an agent has seen in effect, if it gave
- * the opening back for an older one; the time, in milliseconds.
+ * <p>Inputs: the opening segment; the configuration version that an agent has seen in effect, if it
+ * returned the opening because this balancer's configuration is older; the time, in milliseconds.
  *
- * <p>An opening that no target has refused waits for a target, up to {@code waitMs}; then its
- * client gets a reset. One that an agent gave back for an older configuration waits for that
- * configuration, up to {@value #CONFIGURATION_WAIT_MS} ms; then it is dropped, and the client's
- * next copy opens the flow. At most {@value #MAX_WAITING_OPENS} openings wait, of both kinds.
+ * <p>An opening that no target has rejected waits for a target, up to {@code waitMs}; then its
+ * client is sent a reset. An opening that an agent returned because of an old configuration waits
+ * for the newer configuration, up to {@value #CONFIGURATION_WAIT_MS} ms; then it is dropped, and
+ * the client's next retransmission opens the flow. At most {@value #MAX_WAITING_OPENINGS} openings
+ * of both kinds wait.
  *
- * <p>Just after a start or an outage of the source, targets are listed one by one: a short wait
- * serves the flow, where a reset would use up the client's retries within milliseconds.
+ * <p>After a start or an outage of the source, targets are listed one by one. A short wait then
+ * serves the flow, whereas resets would use up the client's retries within milliseconds.
  */
 final class WaitingOpenings {
-  /** 1.3 s of new flows where 400 arrive in a second, the most of any known deployment. */
-  private static final int MAX_WAITING_OPENS = 512;
+  /**
+   * The maximum number of waiting openings: 1.3 s of new flows at 400 flows/s, the highest rate of
+   * any known deployment.
+   */
+  private static final int MAX_WAITING_OPENINGS = 512;
 
   /**
-   * Not measured; chosen so that a wait ends before the client's first copy, which it sends after
-   * 200 ms.
+   * The maximum wait for a configuration, in milliseconds. It ends before the client's first
+   * retransmission, which is sent after 200 ms.
    */
   private static final int CONFIGURATION_WAIT_MS = 180;
 
@@ -42,7 +46,8 @@
   /**
    * An opening segment that waits.
    *
-   * @param version the configuration that it waits for, 0 if it waits for a target
+   * @param version the configuration version that it waits for; 0 if it waits for a target
+   * @param deadlineMs when the wait expires
    */
   record Opening(Segment segment, byte[] datagram, long version, long deadlineMs) {
     boolean waitsForTarget() {
@@ -64,16 +69,16 @@
   }
 
   boolean isFull() {
-    return openings.size() >= MAX_WAITING_OPENS;
+    return openings.size() >= MAX_WAITING_OPENINGS;
   }
 
-  /** An opening waits for a target. */
+  /** Adds an opening that waits for a target. */
   void addForTarget(Segment segment, ByteBuffer datagram, long nowMs) {
     long deadlineMs = nowMs + settings.waitMs();
     openings.add(new Opening(segment, Datagrams.copyOf(datagram), NO_VERSION, deadlineMs));
   }
 
-  /** An opening waits for a configuration, unless too many wait. */
+  /** Adds an opening that waits for a configuration, unless the maximum number waits already. */
   void addForConfiguration(Segment segment, ByteBuffer datagram, long version, long nowMs) {
     if (!isFull()) {
       long deadlineMs = nowMs + CONFIGURATION_WAIT_MS;
@@ -81,28 +86,28 @@
     }
   }
 
-  /** Returns all openings that wait, and keeps none. */
-  List<Opening> takeAll() {
-    List<Opening> taken = new ArrayList<>(openings);
+  /** Removes and returns all waiting openings. */
+  List<Opening> removeAll() {
+    List<Opening> removed = new ArrayList<>(openings);
     openings.clear();
-    return taken;
+    return removed;
   }
 
-  /** Keeps an opening that was taken and has to wait on. */
-  void putBack(Opening opening) {
+  /** Adds an opening again that was removed and has to wait further. */
+  void restore(Opening opening) {
     openings.add(opening);
   }
 
-  /** Returns the openings that have waited for as long as they may, and keeps them no longer. */
-  List<Opening> takeOverdue(long nowMs) {
-    List<Opening> overdue = new ArrayList<>(0);
+  /** Removes and returns the openings whose wait has expired. */
+  List<Opening> removeExpired(long nowMs) {
+    List<Opening> expired = new ArrayList<>(0);
     for (Iterator<Opening> all = openings.iterator(); all.hasNext(); ) {
       Opening opening = all.next();
       if (opening.deadlineMs() <= nowMs) {
         all.remove();
-        overdue.add(opening);
+        expired.add(opening);
       }
     }
-    return overdue;
+    return expired;
   }
 }
--- a/core/src/main/java/io/moorstage/core/balancer/package-info.java
+++ b/core/src/main/java/io/moorstage/core/balancer/package-info.java
@@ -1,22 +1,21 @@
 /**
- * The decisions of a balancer: it opens new flows, forwards segments of open ones, and searches for
- * the target of flows that it does not know.
+ * The balancer's logic: placing new flows, forwarding the segments of open flows, and locating
+ * flows whose target is unknown.
  *
- * <p>The classes here decide and keep state; they own no thread, socket or clock. Times are
- * milliseconds of a monotonic clock that the caller gives. Owns the balancer's memory of flows and
- * of agents, all under the one lock of {@link io.moorstage.core.balancer.FlowBalancer}. The target
- * is the authority on which flows it holds: it returns a segment of a flow that it does not hold,
- * and whatever a balancer remembers is only a hint that such a return corrects.
+ * <p>The classes of this package decide and keep state, but own no thread, socket or clock. Times
+ * are milliseconds of a monotonic clock and are passed in by the caller. The flow table and the
+ * agent directory are guarded by the lock of {@link io.moorstage.core.balancer.FlowBalancer}. The
+ * target is authoritative for the flows that it holds: it returns a segment of a flow that it does
+ * not hold, and such a return corrects the balancer's flow table, which is only a hint.
  *
- * <p>Where to read on: {@link io.moorstage.core.balancer.FlowBalancer} takes each event. {@link
- * io.moorstage.core.balancer.FlowOpener} handles openings, by the rules of {@link
- * io.moorstage.core.balancer.UnlistedTargets}, {@link io.moorstage.core.balancer.OpeningRepeats}
+ * <p>{@link io.moorstage.core.balancer.FlowBalancer} is the entry point for all events. {@link
+ * io.moorstage.core.balancer.FlowOpener} handles openings with {@link
+ * io.moorstage.core.balancer.UnlistedTargets}, {@link io.moorstage.core.balancer.OpeningRetries}
  * and {@link io.moorstage.core.balancer.WaitingOpenings}. {@link
- * io.moorstage.core.balancer.FlowLocator} moves searches on, by the rules of {@link
- * io.moorstage.core.balancer.PossibleHolders}, {@link io.moorstage.core.balancer.SearchQuestions},
+ * io.moorstage.core.balancer.FlowLocator} advances searches with {@link
+ * io.moorstage.core.balancer.PossibleHolders}, {@link io.moorstage.core.balancer.SearchQueries},
  * {@link io.moorstage.core.balancer.SearchOffers} and {@link
- * io.moorstage.core.balancer.SearchVerdict}. What is remembered of a flow is in {@link
- * io.moorstage.core.balancer.BalancerFlow}, and of a search in {@link
- * io.moorstage.core.balancer.Search}.
+ * io.moorstage.core.balancer.SearchVerdict}. {@link io.moorstage.core.balancer.BalancerFlow} holds
+ * the state of a flow, and {@link io.moorstage.core.balancer.Search} the state of a search.
  */
 package io.moorstage.core.balancer;
--- a/core/src/test/java/io/moorstage/core/Fleet.java
+++ b/core/src/test/java/io/moorstage/core/Fleet.java
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void ask(int peerAddress, FlowId flow) {
+    public void query(int peerAddress, FlowId flow) {
       asked.add(peerAddress);
     }
 
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void askBalancers(FlowId flow) {
+    public void queryBalancers(FlowId flow) {
       done.add("ask-balancers");
     }
 
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void catchUp(int peerAddress, long configurationVersion) {
+    public void fetchState(int peerAddress, long configurationVersion) {
       caughtUpFrom.add(peerAddress);
     }
 
--- a/core/src/test/java/io/moorstage/core/balancer/BalancerFlowTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/BalancerFlowTest.java
@@ -8,7 +8,7 @@
 import io.moorstage.core.state.TargetPhase;
 import org.junit.jupiter.api.Test;
 
-/** The stages of a flow at a balancer. */
+/** Tests the stages of locating a flow, and that operations not allowed in a stage fail. */
 class BalancerFlowTest {
   private static final long NOW_MS = 10_000;
 
@@ -18,10 +18,10 @@
   private final Search search = new Search(flow, 7, NOW_MS);
 
   @Test
-  void targetThatKeepsItsOfferCountsAsTheHolder() {
-    flow.searchWith(search);
+  void targetThatKeepsTheOfferedSegmentIsTreatedAsTheHolder() {
+    flow.beginSearch(search);
     flow.offerTo(target);
-    flow.keepOffer();
+    flow.markOfferKept();
 
     assertThat(flow.target()).isEqualTo(target);
     assertThat(flow.isSearching()).isFalse();
@@ -29,10 +29,10 @@
   }
 
   @Test
-  void searchGoesOnWhenAnOfferIsReturned() {
-    flow.searchWith(search);
+  void searchContinuesWhenAnOfferIsReturned() {
+    flow.beginSearch(search);
     flow.offerTo(target);
-    flow.returnOffer();
+    flow.markOfferReturned();
 
     assertThat(flow.search()).isEqualTo(search);
     assertThat(flow.offeredTo()).isNull();
@@ -40,14 +40,14 @@
   }
 
   @Test
-  void searchThatIsGivenUpLeavesTheFlowNotFoundUntilTheNextOne() {
-    flow.searchWith(search);
+  void abandonedSearchLeavesTheFlowNotFoundUntilTheNextSearch() {
+    flow.beginSearch(search);
     flow.giveUpSearch();
 
     assertThat(flow.isNotFound()).isTrue();
     assertThat(flow.search()).isNull();
 
-    flow.searchWith(new Search(flow, 7, NOW_MS));
+    flow.beginSearch(new Search(flow, 7, NOW_MS));
 
     assertThat(flow.isNotFound()).isFalse();
   }
@@ -56,26 +56,26 @@
   void segmentIsOfferedOnlyInASearchAndToOneTargetAtATime() {
     assertThrows(IllegalStateException.class, () -> flow.offerTo(target));
 
-    flow.searchWith(search);
+    flow.beginSearch(search);
     flow.offerTo(target);
 
     assertThrows(IllegalStateException.class, () -> flow.offerTo(target));
   }
 
   @Test
-  void offerThatWasNotMadeIsNeitherReturnedNorKept() {
-    flow.searchWith(search);
+  void returningOrKeepingAnOfferWithoutAnOfferThrows() {
+    flow.beginSearch(search);
 
-    assertThrows(IllegalStateException.class, flow::returnOffer);
-    assertThrows(IllegalStateException.class, flow::keepOffer);
+    assertThrows(IllegalStateException.class, flow::markOfferReturned);
+    assertThrows(IllegalStateException.class, flow::markOfferKept);
   }
 
   @Test
-  void targetIsNotKnownToHoldAFlowThatIsSearchedFor() {
-    flow.foundAt(target, true);
+  void targetOfAFlowBeingSearchedForIsNotConfirmed() {
+    flow.setHolder(target, true);
     assertThat(flow.confirmedTarget()).isEqualTo(target);
 
-    flow.searchWith(search);
+    flow.beginSearch(search);
 
     assertThat(flow.confirmedTarget()).isNull();
   }
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -16,6 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** Tests the placement of new flows and the search for open flows in a service of few targets. */
 class FlowBalancerTest {
   private static final int A = 0x0A010010;
   private static final int B = 0x0A010011;
@@ -32,22 +33,22 @@
     balancer = new FlowBalancer(Fleet.POLICY, Fleet.ZONE, actions, DecisionLog.NONE, 0);
   }
 
-  private void takeState(FleetState state) {
+  private void updateState(FleetState state) {
     balancer.onState(state, nowMs);
   }
 
-  private void hear(int... agents) {
+  private void reportAgents(int... agents) {
     for (int agent : agents) {
-      balancer.onAgent(Fleet.agent(agent), nowMs);
+      balancer.onAgentReport(Fleet.agent(agent), nowMs);
     }
   }
 
-  private void client(Segment segment) {
+  private void sendClientSegment(Segment segment) {
     balancer.onClientSegment(segment, Fleet.bytes(segment), nowMs);
   }
 
-  private void givenBack(int agent, GiveBackReason reason, long version, Segment segment) {
-    balancer.onGivenBack(agent, reason, version, segment, Fleet.bytes(segment), nowMs);
+  private void returnSegment(int agent, GiveBackReason reason, long version, Segment segment) {
+    balancer.onReturned(agent, reason, version, segment, Fleet.bytes(segment), nowMs);
   }
 
   private FleetState threeTargets() {
@@ -59,29 +60,29 @@
   }
 
   @Test
-  void openFlowStaysAtItsTargetWhenTargetsComeAndLeave() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
-    client(Fleet.open(Fleet.flow(1), 0));
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+  void openFlowStaysAtItsTargetWhenTargetsAreAddedAndDrained() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
 
-    takeState(
+    updateState(
         Fleet.state(
             9, Fleet.target(A, TargetPhase.DRAINING, 8), Fleet.target(B, TargetPhase.READY, 9)));
-    client(Fleet.data(Fleet.flow(1), 111, 10));
+    sendClientSegment(Fleet.data(Fleet.flow(1), 111, 10));
 
     assertThat(actions.forwardedTo).containsExactly(A, A, A);
   }
 
   @Test
-  void newFlowNeverGoesToATargetThatIsLeavingOrGone() {
-    takeState(
+  void newFlowIsNeverPlacedAtADrainingOrGoneTarget() {
+    updateState(
         Fleet.state(
             5,
             Fleet.target(A, TargetPhase.DRAINING, 1),
             Fleet.target(B, TargetPhase.READY, 2),
             Fleet.target(C, TargetPhase.GONE, 3)));
     for (int port = 1; port <= 100; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).hasSize(100);
     assertThat(actions.forwardedTo).doesNotContain(A);
@@ -89,347 +90,350 @@
   }
 
   @Test
-  void newFlowNeverGoesToAnEvacuatedZoneAndOpenOnesStayThere() {
+  void newFlowIsNeverPlacedInAnEvacuatedZoneAndOpenFlowsStayThere() {
     FleetState state = Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A));
-    takeState(state);
-    client(Fleet.open(Fleet.flow(1), 0));
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+    updateState(state);
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     FleetState both = Fleet.state(6, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B));
-    takeState(Fleet.evacuated(both, Fleet.ZONE));
+    updateState(Fleet.evacuated(both, Fleet.ZONE));
     for (int port = 2; port <= 50; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
       assertThat(actions.last()).isEqualTo(B);
     }
-    client(Fleet.data(Fleet.flow(1), 111, 10));
+    sendClientSegment(Fleet.data(Fleet.flow(1), 111, 10));
     assertThat(actions.last()).isEqualTo(A);
   }
 
   @Test
-  void copyOfAnOpeningDoesNotGoToATargetWhoseZoneHasBeenEvacuatedSince() {
+  void retransmittedOpeningIsNotSentToATargetWhoseZoneHasBeenEvacuatedSince() {
     FleetState state = Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B));
-    takeState(Fleet.evacuated(state, "other"));
-    hear(A, B);
-    client(Fleet.open(Fleet.flow(1), 0));
+    updateState(Fleet.evacuated(state, "other"));
+    reportAgents(A, B);
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.forwardedTo).containsExactly(A);
     FleetState later = Fleet.state(6, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B));
-    takeState(Fleet.evacuated(later, Fleet.ZONE));
+    updateState(Fleet.evacuated(later, Fleet.ZONE));
     nowMs += 200;
-    hear(A, B);
-    client(Fleet.open(Fleet.flow(1), 1));
+    reportAgents(A, B);
+    sendClientSegment(Fleet.open(Fleet.flow(1), 1));
     assertThat(actions.forwardedTo).containsExactly(A, B);
   }
 
   @Test
   void newFlowIsResetAtOnceWhenTheZonesOfAllTargetsAreEvacuated() {
     FleetState state = Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B));
-    takeState(Fleet.evacuated(state, Fleet.ZONE, "other"));
-    client(Fleet.open(Fleet.flow(1), 0));
+    updateState(Fleet.evacuated(state, Fleet.ZONE, "other"));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.forwardedTo).isEmpty();
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
   @Test
-  void agentThatIsNotListedGetsNoNewFlowInAnEvacuatedZone() {
-    takeState(Fleet.evacuated(Fleet.state(5), Fleet.ZONE));
-    hear(A, B);
-    client(Fleet.open(Fleet.flow(1), 0));
+  void unlistedTargetInAnEvacuatedZoneGetsNoNewFlow() {
+    updateState(Fleet.evacuated(Fleet.state(5), Fleet.ZONE));
+    reportAgents(A, B);
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.forwardedTo).isEmpty();
   }
 
   @Test
-  void openingThatAnAgentOfAnEvacuatedZoneReturnsGoesElsewhere() {
-    takeState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
+  void openingReturnedByAnAgentOfAnEvacuatedZoneIsPlacedElsewhere() {
+    updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     assertThat(actions.last()).isEqualTo(A);
-    givenBack(A, GiveBackReason.EVACUATED, 1, open);
+    returnSegment(A, GiveBackReason.EVACUATED, 1, open);
     assertThat(actions.last()).isEqualTo(B);
   }
 
-  private void tellUnfit(int... agents) {
+  private void reportEjected(int... agents) {
     for (int agent : agents) {
-      balancer.onAgent(
+      balancer.onAgentReport(
           new AgentReport(agent, Fleet.SERVICE, Fleet.ZONE, 0, false, true, false), nowMs);
     }
   }
 
   @Test
-  void unfitTargetGetsNoNewFlowWhileHalfOfTheServiceIsFit() {
-    takeState(threeTargets());
-    tellUnfit(A);
+  void ejectedTargetGetsNoNewFlowWhileHalfOfTheServiceIsNotEjected() {
+    updateState(threeTargets());
+    reportEjected(A);
     for (int port = 1; port <= 50; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).doesNotContain(A);
     assertThat(actions.insisted).isEqualTo(0);
   }
 
   @Test
-  void allTargetsAreUsedWhenMostSeemUnfit() {
-    takeState(threeTargets());
-    tellUnfit(A, B);
+  void allTargetsAreUsedWhenMostAreEjected() {
+    updateState(threeTargets());
+    reportEjected(A, B);
     for (int port = 1; port <= 50; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).containsAtLeast(A, B, C);
     assertThat(actions.insisted).isEqualTo(50);
   }
 
   @Test
-  void coldTargetThatHasRefusedAFlowIsLeftOutForAMomentAndOthersAreTaken() {
-    takeState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
+  void coldTargetThatHasRejectedAFlowIsExcludedBriefly() {
+    updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
-    givenBack(A, GiveBackReason.COLD, 1, open);
+    sendClientSegment(open);
+    returnSegment(A, GiveBackReason.COLD, 1, open);
     for (int port = 2; port <= 20; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
       assertThat(actions.last()).isEqualTo(B);
     }
     nowMs += 1_000;
-    hear(A, B);
-    client(Fleet.open(Fleet.flow(21), 0));
+    reportAgents(A, B);
+    sendClientSegment(Fleet.open(Fleet.flow(21), 0));
     assertThat(actions.last()).isEqualTo(A);
   }
 
   @Test
-  void newFlowIsResetAtOnceWhenAllTargetsAreColdAndBearNoMore() {
-    takeState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A)));
+  void newFlowIsResetAtOnceWhenAllTargetsAreColdAndAtTheirLimit() {
+    updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
-    givenBack(A, GiveBackReason.COLD, 1, open);
+    sendClientSegment(open);
+    returnSegment(A, GiveBackReason.COLD, 1, open);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
-    client(Fleet.open(Fleet.flow(2), 0));
+    sendClientSegment(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.reset).containsExactly(Fleet.flow(1), Fleet.flow(2));
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void refusedFlowGoesToAnotherTarget() {
-    takeState(threeTargets());
+  void rejectedFlowIsPlacedAtAnotherTarget() {
+    updateState(threeTargets());
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     int first = actions.last();
-    givenBack(first, GiveBackReason.LEAVING, 1, open);
+    returnSegment(first, GiveBackReason.LEAVING, 1, open);
     assertThat(actions.forwardedTo).hasSize(2);
     assertThat(actions.last()).isNotEqualTo(first);
   }
 
   @Test
-  void flowThatAllTargetsRefuseIsResetAtOnce() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+  void flowThatAllTargetsRejectIsResetAtOnce() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
-    givenBack(A, GiveBackReason.FULL, 1, open);
+    sendClientSegment(open);
+    returnSegment(A, GiveBackReason.FULL, 1, open);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
   @Test
   void flowIsNotResetWhileACopyOfItsOpeningMayStillBeAccepted() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     nowMs += 200;
-    client(Fleet.open(Fleet.flow(1), 1));
-    givenBack(A, GiveBackReason.FULL, 1, open);
+    sendClientSegment(Fleet.open(Fleet.flow(1), 1));
+    returnSegment(A, GiveBackReason.FULL, 1, open);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
   void newFlowWaitsForATargetAndIsServedWhenOneIsListed() {
-    takeState(Fleet.state(5));
-    client(Fleet.open(Fleet.flow(1), 0));
+    updateState(Fleet.state(5));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.reset).isEmpty();
     nowMs += 100;
-    takeState(Fleet.state(6, Fleet.target(A, TargetPhase.READY, 6)));
+    updateState(Fleet.state(6, Fleet.target(A, TargetPhase.READY, 6)));
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void balancerThatHasJustStartedUsesAgentsThatTheSourceDoesNotListYet() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
-    hear(A, B, C);
+  void balancerThatHasJustStartedUsesTargetsThatTheSourceDoesNotListYet() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    reportAgents(A, B, C);
     for (int port = 1; port <= 100; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).containsAtLeast(A, B, C);
   }
 
   @Test
-  void balancerThatHasRunForAWhileUsesNoAgentThatTheSourceDoesNotList() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+  void balancerThatHasRunForAWhileUsesNoUnlistedTarget() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     nowMs += Fleet.POLICY.opening().unlistedMs() + 1;
-    hear(A, B, C);
+    reportAgents(A, B, C);
     for (int port = 1; port <= 100; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).doesNotContain(B);
     assertThat(actions.forwardedTo).doesNotContain(C);
   }
 
   @Test
-  void agentsThatAreNotListedAreNotUsedWhereMostTargetsAre() {
-    takeState(
+  void unlistedTargetsAreNotUsedWhereMostTargetsAreListed() {
+    updateState(
         Fleet.state(
             5, Fleet.target(A, TargetPhase.READY, 1), Fleet.target(B, TargetPhase.READY, 2)));
-    hear(A, B, C);
+    reportAgents(A, B, C);
     for (int port = 1; port <= 100; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).doesNotContain(C);
   }
 
   @Test
-  void agentOfATargetThatIsKnownToBeLeavingIsNotUsed() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.DRAINING, 1)));
-    hear(A, B, C);
+  void targetListedAsDrainingIsNotUsedAlthoughItsAgentIsActive() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.DRAINING, 1)));
+    reportAgents(A, B, C);
     for (int port = 1; port <= 100; port++) {
-      client(Fleet.open(Fleet.flow(port), 0));
+      sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).hasSize(100);
     assertThat(actions.forwardedTo).doesNotContain(A);
   }
 
   @Test
-  void newFlowThatWaitsForATargetIsServedWhenAnAgentIsHeard() {
-    takeState(Fleet.state(5));
-    client(Fleet.open(Fleet.flow(1), 0));
+  void newFlowThatWaitsForATargetIsServedWhenAnAgentBecomesActive() {
+    updateState(Fleet.state(5));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     nowMs += 100;
-    hear(B);
+    reportAgents(B);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
 
   @Test
-  void flowRefusedByATargetThatHasBeenListedMeanwhileGoesToAnother() {
-    takeState(Fleet.state(5));
-    hear(B, C);
+  void flowRejectedByATargetThatHasBeenListedMeanwhileIsPlacedAtAnother() {
+    updateState(Fleet.state(5));
+    reportAgents(B, C);
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     int first = actions.last();
-    takeState(
+    updateState(
         Fleet.state(
             7, Fleet.target(B, TargetPhase.READY, 6), Fleet.target(C, TargetPhase.READY, 7)));
-    givenBack(first, GiveBackReason.FULL, 1, open);
+    returnSegment(first, GiveBackReason.FULL, 1, open);
     assertThat(actions.last()).isNotEqualTo(first);
   }
 
   @Test
-  void targetThatHasTakenTheAddressOfAnotherIsNoSecondChoiceBesideIt() {
+  void targetThatReusesAnAddressIsNotAnAdditionalCandidate() {
     TargetRecord before =
         new TargetRecord("before", Fleet.SERVICE, A, "z", 2, TargetPhase.READY, 0, 1, 1);
     TargetRecord now =
         new TargetRecord("now", Fleet.SERVICE, A, "z", 2, TargetPhase.READY, 0, 9, 9);
-    takeState(Fleet.state(9, before, now, Fleet.target(B, TargetPhase.READY, 2)));
+    updateState(Fleet.state(9, before, now, Fleet.target(B, TargetPhase.READY, 2)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     int first = actions.last();
-    givenBack(first, GiveBackReason.FULL, 1, open);
-    givenBack(actions.last(), GiveBackReason.FULL, 1, open);
+    returnSegment(first, GiveBackReason.FULL, 1, open);
+    returnSegment(actions.last(), GiveBackReason.FULL, 1, open);
     assertThat(actions.forwardedTo).containsExactly(A, B);
   }
 
   @Test
-  void flowIsLookedForInTheSameOrderWhetherOrNotItsTargetsAreListed() {
+  void flowIsSearchedForInTheSameOrderWhetherOrNotItsTargetsAreListed() {
     FleetState all = threeTargets();
     for (int port = 1; port <= 20; port++) {
-      List<Integer> listed = offersOfALostFlow(all, Fleet.flow(port));
-      List<Integer> unlisted = offersOfALostFlow(Fleet.state(5), Fleet.flow(port));
+      List<Integer> listed = offersForLostFlow(all, Fleet.flow(port));
+      List<Integer> unlisted = offersForLostFlow(Fleet.state(5), Fleet.flow(port));
       assertThat(unlisted).containsExactlyElementsIn(listed).inOrder();
     }
   }
 
-  /** Returns where a restarted balancer offers a segment, among agents that have restarted too. */
-  private List<Integer> offersOfALostFlow(FleetState known, FlowId flow) {
+  /**
+   * Returns the targets, in order, to which a restarted balancer offers a segment of a lost flow
+   * while all agents have restarted too.
+   */
+  private List<Integer> offersForLostFlow(FleetState known, FlowId flow) {
     start();
     actions.forwardedTo.clear();
-    takeState(known);
-    hear(A, B, C);
+    updateState(known);
+    reportAgents(A, B, C);
     Segment segment = Fleet.data(flow, 501, 10);
-    client(segment);
+    sendClientSegment(segment);
     for (int agent : new int[] {A, B, C}) {
-      balancer.onKnowledge(agent, flow, FlowKnowledge.UNKNOWN, agent, nowMs);
+      balancer.onQueryResult(agent, flow, FlowKnowledge.UNKNOWN, agent, nowMs);
     }
     for (int offer = 0; offer < 3; offer++) {
-      givenBack(actions.last(), GiveBackReason.NOT_HELD, 1, segment);
+      returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, segment);
     }
     return List.copyOf(actions.forwardedTo);
   }
 
   @Test
-  void newFlowWithoutATargetIsResetWhenTheWaitIsOver() {
-    takeState(Fleet.state(5));
-    client(Fleet.open(Fleet.flow(1), 0));
+  void newFlowWithoutATargetIsResetWhenTheWaitExpires() {
+    updateState(Fleet.state(5));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     nowMs += Fleet.POLICY.opening().waitMs();
     balancer.onTick(nowMs);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
   @Test
-  void segmentThatComesBeforeTheFirstStateIsForwardedWhenItComes() {
-    client(Fleet.open(Fleet.flow(1), 0));
+  void segmentThatArrivesBeforeTheFirstStateIsForwardedWhenTheStateArrives() {
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.forwardedTo).isEmpty();
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void unknownRouteIsResetOnlyUnderAConfigurationThatIsKnownToBeCurrent() {
-    takeState(threeTargets());
+  void flowWithoutARouteIsResetOnlyWhenTheConfigurationIsConfirmed() {
+    updateState(threeTargets());
     FlowId elsewhere = new FlowId(0x64400007, 9, Fleet.SERVICE_ADDRESS, 8080);
-    client(Fleet.open(elsewhere, 0));
+    sendClientSegment(Fleet.open(elsewhere, 0));
     assertThat(actions.reset).isEmpty();
 
     balancer.onConfirmed(nowMs + 1_000);
-    client(Fleet.open(elsewhere, 1));
+    sendClientSegment(Fleet.open(elsewhere, 1));
     assertThat(actions.reset).containsExactly(elsewhere);
   }
 
   @Test
   void openFlowOfARouteThatThisBalancerDoesNotKnowIsNeverReset() {
-    takeState(threeTargets());
+    updateState(threeTargets());
     balancer.onConfirmed(nowMs + 1_000);
-    client(Fleet.data(new FlowId(0x64400007, 9, Fleet.SERVICE_ADDRESS, 8080), 1, 10));
+    sendClientSegment(Fleet.data(new FlowId(0x64400007, 9, Fleet.SERVICE_ADDRESS, 8080), 1, 10));
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void flowOfUnknownPlaceGoesWhereAnAgentTellsThatItIsHeld() {
-    takeState(threeTargets());
-    hear(A, B, C);
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+  void flowOfUnknownTargetIsSentToTheTargetWhoseAgentReportsIt() {
+    updateState(threeTargets());
+    reportAgents(A, B, C);
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.asked).containsExactly(A, B, C);
-    balancer.onKnowledge(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
 
   @Test
-  void targetThatIsNoLongerListedIsStillAskedForItsFlows() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
-    hear(A, B);
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+  void agentOfAnUnlistedTargetIsStillQueriedForItsFlows() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    reportAgents(A, B);
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.asked).containsExactly(A, B);
-    balancer.onKnowledge(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
 
   @Test
-  void flowThatEveryAgentDeniesIsReset() {
-    takeState(threeTargets());
-    hear(A, B, C);
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+  void flowThatNoTargetHoldsIsReset() {
+    updateState(threeTargets());
+    reportAgents(A, B, C);
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     for (int agent : new int[] {A, B, C}) {
-      balancer.onKnowledge(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
     }
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
     assertThat(actions.forwardedTo).isEmpty();
   }
 
   @Test
-  void flowIsNotResetWhileOneAgentThatMayKnowItIsSilent() {
-    takeState(threeTargets());
-    hear(A, B);
-    client(Fleet.data(Fleet.flow(1), 101, 10));
-    balancer.onKnowledge(A, Fleet.flow(1), FlowKnowledge.NOT_HELD, A, nowMs);
-    balancer.onKnowledge(B, Fleet.flow(1), FlowKnowledge.NOT_HELD, B, nowMs);
+  void flowIsNotResetWhileAnAgentThatMayKnowItDoesNotRespond() {
+    updateState(threeTargets());
+    reportAgents(A, B);
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
+    balancer.onQueryResult(A, Fleet.flow(1), FlowKnowledge.NOT_HELD, A, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.NOT_HELD, B, nowMs);
     nowMs += Fleet.POLICY.search().durationMs() + 1;
     balancer.onTick(nowMs);
     assertThat(actions.reset).isEmpty();
@@ -438,106 +442,108 @@
   @Test
   void flowIsNotResetByABalancerThatHasJustStarted() {
     nowMs = 100;
-    takeState(threeTargets());
-    hear(A, B, C);
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+    updateState(threeTargets());
+    reportAgents(A, B, C);
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     for (int agent : new int[] {A, B, C}) {
-      balancer.onKnowledge(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
     }
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void agentThatAppearsDuringASearchIsAsked() {
-    takeState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
-    client(Fleet.data(Fleet.flow(1), 101, 10));
+  void agentThatBecomesActiveDuringASearchIsQueried() {
+    updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
+    sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.asked).containsExactly(A);
-    hear(A);
+    reportAgents(A);
     assertThat(actions.asked).containsExactly(A, A);
-    balancer.onKnowledge(A, Fleet.flow(1), FlowKnowledge.HELD, A, nowMs);
+    balancer.onQueryResult(A, Fleet.flow(1), FlowKnowledge.HELD, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void segmentIsOfferedToOneTargetAfterTheOtherWhenAgentsHaveLostTheirMemory() {
-    takeState(threeTargets());
-    hear(A, B, C);
+  void segmentIsOfferedToOneTargetAfterAnotherWhenAgentsHaveLostTheirState() {
+    updateState(threeTargets());
+    reportAgents(A, B, C);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
-    client(data);
+    sendClientSegment(data);
     for (int agent : new int[] {A, B, C}) {
-      balancer.onKnowledge(agent, Fleet.flow(1), FlowKnowledge.UNKNOWN, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.UNKNOWN, agent, nowMs);
     }
     assertThat(actions.forwardedTo).hasSize(1);
-    givenBack(actions.last(), GiveBackReason.NOT_HELD, 1, data);
-    givenBack(actions.last(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.forwardedTo).containsExactly(A, B, C);
-    givenBack(actions.last(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
-  // Two balancers once passed a flow's segments in a circle, each telling the other's belief.
+  // Guards against two balancers that forward a flow's segments in a loop because each one reports
+  // the
+  // target that the other one had named before.
   @Test
-  void beliefOfAnotherBalancerIsNotTakenForATargetThatHasReturnedTheFlow() {
-    takeState(threeTargets());
-    hear(A, B, C);
+  void holderNamedByAnotherBalancerIsIgnoredIfItHasReturnedTheFlow() {
+    updateState(threeTargets());
+    reportAgents(A, B, C);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
-    client(data);
-    balancer.onKnowledge(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
+    sendClientSegment(data);
+    balancer.onQueryResult(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
     assertThat(balancer.knownTarget(Fleet.flow(1))).isEqualTo(0);
 
-    givenBack(A, GiveBackReason.NOT_HELD, 1, data);
-    balancer.onKnowledge(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
+    returnSegment(A, GiveBackReason.NOT_HELD, 1, data);
+    balancer.onQueryResult(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void openingRefusedForAnOldConfigurationWaitsForTheNewerOne() {
-    takeState(threeTargets());
+  void openingReturnedForAnOldConfigurationWaitsForTheNewerOne() {
+    updateState(threeTargets());
     Segment open = Fleet.open(Fleet.flow(1), 0);
-    client(open);
+    sendClientSegment(open);
     int first = actions.last();
-    givenBack(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
+    returnSegment(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
     assertThat(actions.caughtUpFrom).containsExactly(first);
     assertThat(actions.forwardedTo).hasSize(1);
-    takeState(Fleet.state(8, 2, Fleet.target(A, TargetPhase.READY, 1)));
+    updateState(Fleet.state(8, 2, Fleet.target(A, TargetPhase.READY, 1)));
     assertThat(actions.forwardedTo).hasSize(2);
   }
 
   @Test
-  void unansweredOpeningGoesToAnotherTarget() {
-    takeState(threeTargets());
-    client(Fleet.open(Fleet.flow(1), 0));
+  void unansweredOpeningIsSentToAnotherTarget() {
+    updateState(threeTargets());
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     int first = actions.last();
     nowMs += 200;
-    client(Fleet.open(Fleet.flow(1), 1));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 1));
     assertThat(actions.last()).isNotEqualTo(first);
   }
 
   @Test
-  void openingIsRepeatedAtTheSameTargetIfItsAgentHasBeenHeardSince() {
-    takeState(threeTargets());
-    client(Fleet.open(Fleet.flow(1), 0));
+  void retransmittedOpeningIsSentToTheSameTargetIfItsAgentHasReportedSince() {
+    updateState(threeTargets());
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     int first = actions.last();
     nowMs += 100;
-    hear(A, B, C);
+    reportAgents(A, B, C);
     nowMs += 100;
-    client(Fleet.open(Fleet.flow(1), 1));
+    sendClientSegment(Fleet.open(Fleet.flow(1), 1));
     assertThat(actions.last()).isEqualTo(first);
   }
 
   @Test
-  void balancerThatHearsNoAgentAnyMoreSaysSo() {
+  void balancerDetectsThatAllAgentsAreLost() {
     assertThat(balancer.hasLostAllAgents(1_000, nowMs)).isFalse();
-    hear(A);
+    reportAgents(A);
     assertThat(balancer.hasLostAllAgents(1_000, nowMs)).isFalse();
     assertThat(balancer.hasLostAllAgents(1_000, nowMs + 1_001)).isTrue();
   }
 
   @Test
-  void restingFlowsAreForgotten() {
-    takeState(threeTargets());
-    client(Fleet.open(Fleet.flow(1), 0));
+  void idleFlowsAreEvicted() {
+    updateState(threeTargets());
+    sendClientSegment(Fleet.open(Fleet.flow(1), 0));
     balancer.onSweep(nowMs + Fleet.POLICY.memory().flowMs());
     assertThat(balancer.flowCount()).isEqualTo(1);
     balancer.onSweep(nowMs + Fleet.POLICY.memory().flowMs() + 1);
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The search for a flow that was opened before its route's services changed. */
+/** Tests the search for a flow that was opened before the services of its route changed. */
 class FlowLocatorRouteTest {
   private static final int TARGETS = 30;
   private static final int ALL_TARGETS = 2 * TARGETS;
@@ -32,7 +32,7 @@
   private static final String SERVICE = "chairs";
   private static final FlowId FLOW = Fleet.flow(1);
 
-  /** A target of the route's former service, and not among the flow's likeliest ones. */
+  /** A target of the route's former service that is not among the flow's most likely ones. */
   private static final int HOLDER = formerByRank().get(TARGETS - 1);
 
   private final Fleet.BalancerRecord actions = new Fleet.BalancerRecord();
@@ -40,7 +40,7 @@
   private FleetState state;
   private FlowBalancer balancer;
   private long nowMs = 100_000;
-  private int answeredQuestions;
+  private int answeredQueries;
   private int returnedOffers;
 
   private static List<TargetRecord> formerTargets() {
@@ -51,7 +51,7 @@
     return former;
   }
 
-  /** Returns the addresses of the former service's targets, the flow's likeliest one first. */
+  /** Returns the addresses of the former service's targets, the flow's most likely target first. */
   private static List<Integer> formerByRank() {
     List<TargetSlot> slots = new ArrayList<>();
     for (TargetRecord target : formerTargets()) {
@@ -78,66 +78,69 @@
     balancer = new FlowBalancer(Fleet.POLICY, Fleet.ZONE, actions, DecisionLog.NONE, 0);
   }
 
-  private void takeRoutes(long version, ForwardingRoute... routes) {
+  private void applyRoutes(long version, ForwardingRoute... routes) {
     state = state.replaceBy(Fleet.state(version + 5, version, List.of(routes), targets));
     balancer.onState(state, nowMs);
   }
 
-  private void takeRouteTo(long version, String service) {
-    takeRoutes(version, Fleet.routeTo(service));
+  private void applyRouteTo(long version, String service) {
+    applyRoutes(version, Fleet.routeTo(service));
   }
 
-  private void seeRouteMove() {
-    takeRouteTo(1, FORMER);
-    takeRouteTo(2, SERVICE);
+  private void applyRouteMove() {
+    applyRouteTo(1, FORMER);
+    applyRouteTo(2, SERVICE);
   }
 
-  private void clientGoesOn() {
-    clientGoesOn(FLOW);
+  private void sendClientData() {
+    sendClientData(FLOW);
   }
 
-  private void clientGoesOn(FlowId flow) {
+  private void sendClientData(FlowId flow) {
     Segment data = Fleet.data(flow, 101, 10);
     balancer.onClientSegment(data, Fleet.bytes(data), nowMs);
   }
 
-  /** Answers each question once; what is asked of an agent without an answer is lost. */
-  private void answer(FlowId flow, IntFunction<FlowKnowledge> knowledgeOf) {
-    while (answeredQuestions < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQuestions);
-      answeredQuestions++;
-      FlowKnowledge knowledge = knowledgeOf.apply(agent);
-      if (knowledge != null) {
-        balancer.onKnowledge(agent, flow, knowledge, agent, nowMs);
+  /** Responds to each query once; queries for which the function returns null are lost. */
+  private void respond(FlowId flow, IntFunction<FlowKnowledge> resultOf) {
+    while (answeredQueries < actions.asked.size()) {
+      int agent = actions.asked.get(answeredQueries);
+      answeredQueries++;
+      FlowKnowledge result = resultOf.apply(agent);
+      if (result != null) {
+        balancer.onQueryResult(agent, flow, result, agent, nowMs);
       }
     }
   }
 
-  private void answerAll(FlowKnowledge knowledge) {
-    answer(FLOW, agent -> knowledge);
+  private void respondToAll(FlowKnowledge result) {
+    respond(FLOW, agent -> result);
   }
 
-  /** The holder's agent tells so; all others have not run for long enough to know. */
-  private void answerAsHeldBy(int holder) {
-    answer(FLOW, agent -> agent == holder ? FlowKnowledge.HELD : FlowKnowledge.UNKNOWN);
+  /** The holder's agent reports the flow; all others have not run for long enough to know it. */
+  private void respondAsHeldBy(int holder) {
+    respond(FLOW, agent -> agent == holder ? FlowKnowledge.HELD : FlowKnowledge.UNKNOWN);
   }
 
-  /** Each target but one returns what it is offered. */
+  /** Returns each offered segment once, from all targets but the holder. */
   private void returnOffers(FlowId flow, int holder) {
     Segment data = Fleet.data(flow, 101, 10);
     while (returnedOffers < actions.forwardedTo.size()) {
       int target = actions.forwardedTo.get(returnedOffers);
       returnedOffers++;
       if (target != holder) {
-        balancer.onGivenBack(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
+        balancer.onReturned(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
       }
     }
   }
 
-  /** Lets the search for a flow go through all its offers; agents that are asked again are new. */
-  private void searchOn(FlowId flow, int holder) {
+  /**
+   * Runs the search for a flow through all its offers; all agents respond that they have not run
+   * for long enough to know the flow.
+   */
+  private void runSearch(FlowId flow, int holder) {
     for (int i = 0; i < ALL_TARGETS; i++) {
-      answer(flow, agent -> FlowKnowledge.UNKNOWN);
+      respond(flow, agent -> FlowKnowledge.UNKNOWN);
       returnOffers(flow, holder);
       nowMs += Fleet.POLICY.search().pauseMs();
       balancer.onTick(nowMs);
@@ -147,30 +150,30 @@
   // ---- a route that has moved to another service ----
 
   @Test
-  void flowOfTheServiceThatItsRouteHadBeforeIsFoundWithoutAnOffer() {
-    seeRouteMove();
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void flowOfTheRoutesFormerServiceIsLocatedWithoutAnOffer() {
+    applyRouteMove();
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.forwardedFor).containsExactly(FORMER);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void segmentIsOfferedToTargetsOfTheServiceThatItsRouteHadBefore() {
-    seeRouteMove();
-    clientGoesOn();
-    searchOn(FLOW, HOLDER);
+  void segmentIsOfferedToTargetsOfTheRoutesFormerService() {
+    applyRouteMove();
+    sendClientData();
+    runSearch(FLOW, HOLDER);
     assertThat(actions.last()).isEqualTo(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
-  // An agent gives back what is meant for a service that is not its target's.
+  // An agent returns segments that name another service than its target's.
   @Test
   void eachOfferNamesTheServiceOfItsTarget() {
-    seeRouteMove();
-    clientGoesOn();
-    searchOn(FLOW, 0);
+    applyRouteMove();
+    sendClientData();
+    runSearch(FLOW, 0);
     assertThat(new HashSet<>(actions.forwardedTo)).hasSize(ALL_TARGETS);
     for (int i = 0; i < actions.forwardedTo.size(); i++) {
       boolean former = actions.forwardedTo.get(i) < ADDRESS;
@@ -179,180 +182,181 @@
   }
 
   @Test
-  void balancersWordOfATargetOfTheServiceBeforeIsTaken() {
-    seeRouteMove();
-    clientGoesOn();
-    balancer.onKnowledge(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
+  void holderOfTheFormerServiceNamedByABalancerIsAccepted() {
+    applyRouteMove();
+    sendClientData();
+    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
-  // The agent there gives back what names another service than its own.
+  // The agent at the address returns segments that name another service than its target's.
   @Test
-  void foundFlowGoesOnToNameItsServiceAfterAnotherServiceHasTakenTheAddress() {
-    seeRouteMove();
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void locatedFlowKeepsNamingItsServiceAfterAnotherServiceHasTakenTheAddress() {
+    applyRouteMove();
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     targets.removeIf(target -> target.address() == HOLDER);
     targets.add(Fleet.listed("successor", SERVICE, HOLDER, 9));
-    takeRouteTo(3, SERVICE);
-    clientGoesOn();
+    applyRouteTo(3, SERVICE);
+    sendClientData();
     assertThat(actions.forwardedTo).containsExactly(HOLDER, HOLDER);
     assertThat(actions.forwardedFor).containsExactly(FORMER, FORMER);
   }
 
-  // ---- a balancer that has started after the route has moved ----
+  // ---- a balancer that starts after the route has moved ----
 
   @Test
-  void balancerThatKnowsNoEarlierConfigurationFindsAFlowOfTheServiceBefore() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void balancerWithoutAnEarlierConfigurationLocatesAFlowOfTheFormerService() {
+    applyRouteTo(2, SERVICE);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.forwardedFor).containsExactly(FORMER);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void balancerThatStartsWithAPeersStateOffersToTheServiceBefore() {
-    seeRouteMove();
+  void balancerThatStartsWithAPeersStateOffersToTheFormerService() {
+    applyRouteMove();
     startBalancer(state);
     balancer.onState(state, nowMs);
-    clientGoesOn();
-    searchOn(FLOW, HOLDER);
+    sendClientData();
+    runSearch(FLOW, HOLDER);
     assertThat(actions.last()).isEqualTo(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void flowIsNotResetWhileAnAgentOfAnotherServiceHasNotAnswered() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
+  void flowIsNotResetWhileAnAgentOfAnotherServiceHasNotResponded() {
+    applyRouteTo(2, SERVICE);
+    sendClientData();
     for (int passedMs = 0; passedMs < 3 * Fleet.POLICY.search().durationMs(); passedMs += 20) {
-      answer(FLOW, agent -> agent == HOLDER ? null : FlowKnowledge.NOT_HELD);
+      respond(FLOW, agent -> agent == HOLDER ? null : FlowKnowledge.NOT_HELD);
       nowMs += 20;
       balancer.onTick(nowMs);
     }
     assertThat(actions.reset).isEmpty();
-    clientGoesOn();
-    balancer.onKnowledge(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
+    sendClientData();
+    balancer.onQueryResult(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
   @Test
-  void flowThatNoTargetOfAnyServiceHoldsIsResetOnceAllAgentsHaveAnswered() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
-    answerAll(FlowKnowledge.NOT_HELD);
+  void flowThatNoTargetOfAnyServiceHoldsIsResetOnceAllAgentsHaveResponded() {
+    applyRouteTo(2, SERVICE);
+    sendClientData();
+    respondToAll(FlowKnowledge.NOT_HELD);
     assertThat(actions.asked).hasSize(ALL_TARGETS);
     assertThat(actions.asked).containsNoDuplicates();
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
   @Test
-  void agentsOfOtherServicesAreAskedOnlyOnceThoseOfTheRouteHaveAnswered() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
-    answerAll(FlowKnowledge.NOT_HELD);
+  void agentsOfOtherServicesAreQueriedOnlyOnceThoseOfTheRouteHaveResponded() {
+    applyRouteTo(2, SERVICE);
+    sendClientData();
+    respondToAll(FlowKnowledge.NOT_HELD);
     for (int i = 0; i < ALL_TARGETS; i++) {
       assertThat(actions.asked.get(i) < ADDRESS).isEqualTo(i >= TARGETS);
     }
   }
 
   @Test
-  void flowOfTheRoutesServiceIsFoundWithoutAQuestionToAnotherOne() {
-    takeRouteTo(1, FORMER);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void flowOfTheRoutesServiceIsLocatedWithoutAQueryToAnotherService() {
+    applyRouteTo(1, FORMER);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.asked.size()).isAtMost(TARGETS);
   }
 
   @Test
   void segmentIsNeverOfferedToAServiceThatItsRouteIsNotKnownToHaveHad() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
-    searchOn(FLOW, 0);
+    applyRouteTo(2, SERVICE);
+    sendClientData();
+    runSearch(FLOW, 0);
     assertThat(new HashSet<>(actions.forwardedTo)).hasSize(TARGETS);
     assertThat(new HashSet<>(actions.forwardedFor)).containsExactly(SERVICE);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
-  // The other balancer may not know yet that the address has been taken by another service.
+  // The other balancer may not have received the state in which another service has taken the
+  // address.
   @Test
-  void agentOfAnotherServiceIsAskedBeforeABalancersWordIsTaken() {
-    takeRouteTo(2, SERVICE);
-    clientGoesOn();
-    balancer.onKnowledge(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
+  void agentOfAnotherServiceIsQueriedBeforeAHolderNamedByABalancerIsAccepted() {
+    applyRouteTo(2, SERVICE);
+    sendClientData();
+    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
     assertThat(actions.forwardedTo).isEmpty();
     assertThat(actions.asked).contains(HOLDER);
-    balancer.onKnowledge(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
+    balancer.onQueryResult(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
-  // ---- a route that is gone ----
+  // ---- a route that has been removed ----
 
   @Test
-  void knownFlowStaysAtItsTargetWhenItsRouteIsDropped() {
-    takeRouteTo(1, FORMER);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
-    takeRoutes(2);
-    clientGoesOn();
+  void knownFlowStaysAtItsTargetWhenItsRouteIsRemoved() {
+    applyRouteTo(1, FORMER);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
+    applyRoutes(2);
+    sendClientData();
     assertThat(actions.forwardedTo).containsExactly(HOLDER, HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void unknownFlowOfADroppedRouteIsNeitherResetNorOffered() {
-    takeRouteTo(1, FORMER);
-    takeRoutes(2);
-    clientGoesOn();
-    searchOn(FLOW, 0);
+  void unknownFlowOfARemovedRouteIsNeitherResetNorOffered() {
+    applyRouteTo(1, FORMER);
+    applyRoutes(2);
+    sendClientData();
+    runSearch(FLOW, 0);
     assertThat(actions.forwardedTo).isEmpty();
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void flowIsFoundWhenItsRouteWasDroppedAndHasComeBackWithAnotherService() {
-    takeRouteTo(1, FORMER);
-    takeRoutes(2);
-    takeRouteTo(3, SERVICE);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void flowIsLocatedWhenItsRouteWasRemovedAndAddedAgainWithAnotherService() {
+    applyRouteTo(1, FORMER);
+    applyRoutes(2);
+    applyRouteTo(3, SERVICE);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
-  // ---- a service whose weight has gone to 0 ----
+  // ---- a service whose weight has changed to 0 ----
 
-  private void takeWeights(int formerWeight, int weight) {
+  private void applyWeights(int formerWeight, int weight) {
     WeightedService former = new WeightedService(FORMER, formerWeight);
-    takeRoutes(2, Fleet.routeTo(former, new WeightedService(SERVICE, weight)));
+    applyRoutes(2, Fleet.routeTo(former, new WeightedService(SERVICE, weight)));
   }
 
   @Test
-  void flowOfAServiceWhoseWeightHasGoneTo0IsFound() {
-    takeWeights(0, 1);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void flowOfAServiceWhoseWeightHasChangedTo0IsLocated() {
+    applyWeights(0, 1);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void offerNamesTheServiceOfItsTargetThoughItsWeightHasGoneTo0() {
-    takeWeights(0, 1);
-    clientGoesOn();
-    searchOn(FLOW, HOLDER);
+  void offerNamesTheServiceOfItsTargetThoughItsWeightHasChangedTo0() {
+    applyWeights(0, 1);
+    sendClientData();
+    runSearch(FLOW, HOLDER);
     assertThat(actions.last()).isEqualTo(HOLDER);
     assertThat(actions.forwardedFor).contains(FORMER);
   }
 
   @Test
-  void flowIsFoundThoughAllWeightsOfItsRouteHaveGoneTo0() {
-    takeWeights(0, 0);
-    clientGoesOn();
-    answerAsHeldBy(HOLDER);
+  void flowIsLocatedThoughAllWeightsOfItsRouteHaveChangedTo0() {
+    applyWeights(0, 0);
+    sendClientData();
+    respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The search for a flow in a service of many targets. */
+/** Tests the search for a flow in a service of many targets. */
 class FlowLocatorTest {
   private static final int TARGETS = 60;
   private static final int FIRST_ADDRESS = 0x0A010010;
@@ -30,7 +30,7 @@
   private final List<TargetRecord> targets = new ArrayList<>();
   private FlowBalancer balancer;
   private long nowMs = 100_000;
-  private int answeredQuestions;
+  private int answeredQueries;
   private int returnedOffers;
 
   @BeforeEach
@@ -42,7 +42,7 @@
     balancer.onState(Fleet.state(5, targets.toArray(new TargetRecord[0])), nowMs);
   }
 
-  /** Returns the addresses of all targets, the flow's highest ranked one first. */
+  /** Returns the addresses of all targets, the flow's highest ranked target first. */
   private List<Integer> addressesByRank() {
     List<TargetSlot> slots = new ArrayList<>();
     for (TargetRecord target : targets) {
@@ -55,146 +55,154 @@
     return addresses;
   }
 
-  private void clientGoesOn() {
+  private void sendClientData() {
     Segment data = Fleet.data(FLOW, 101, 10);
     balancer.onClientSegment(data, Fleet.bytes(data), nowMs);
   }
 
-  private void hearAllBut(int silentAddress) {
+  private void reportAllAgentsExcept(int unresponsiveAddress) {
     for (TargetRecord target : targets) {
-      if (target.address() != silentAddress) {
-        balancer.onAgent(Fleet.agent(target.address()), nowMs);
+      if (target.address() != unresponsiveAddress) {
+        balancer.onAgentReport(Fleet.agent(target.address()), nowMs);
       }
     }
   }
 
-  /** Answers each question once, in the same way. */
-  private void answerAllBy(FlowKnowledge knowledge) {
-    answerAllBut(0, knowledge);
+  /** Responds to each query once, always with the same result. */
+  private void respondToAll(FlowKnowledge result) {
+    respondToAllExcept(0, result);
   }
 
-  /** Answers each question once, in the same way; what the silent agent is asked is lost. */
-  private void answerAllBut(int silentAddress, FlowKnowledge knowledge) {
-    while (answeredQuestions < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQuestions);
-      answeredQuestions++;
-      if (agent != silentAddress) {
-        balancer.onKnowledge(agent, FLOW, knowledge, agent, nowMs);
+  /**
+   * Responds to each query once, always with the same result; queries to the unresponsive agent are
+   * lost.
+   */
+  private void respondToAllExcept(int unresponsiveAddress, FlowKnowledge result) {
+    while (answeredQueries < actions.asked.size()) {
+      int agent = actions.asked.get(answeredQueries);
+      answeredQueries++;
+      if (agent != unresponsiveAddress) {
+        balancer.onQueryResult(agent, FLOW, result, agent, nowMs);
       }
     }
   }
 
-  /** Each target but one returns what it is offered. */
+  /** Returns each offered segment once, from all targets but the holder. */
   private void returnOffers(int holder) {
     Segment data = Fleet.data(FLOW, 101, 10);
     while (returnedOffers < actions.forwardedTo.size()) {
       int target = actions.forwardedTo.get(returnedOffers);
       returnedOffers++;
       if (target != holder) {
-        balancer.onGivenBack(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
+        balancer.onReturned(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
       }
     }
   }
 
-  /** Answers each question once; what the silent agent is asked is lost. */
-  private void answerAll(int holder, int silentAddress) {
-    while (answeredQuestions < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQuestions);
-      answeredQuestions++;
-      if (agent != silentAddress) {
-        FlowKnowledge knowledge = agent == holder ? FlowKnowledge.HELD : FlowKnowledge.NOT_HELD;
-        balancer.onKnowledge(agent, FLOW, knowledge, agent, nowMs);
+  /**
+   * Responds to each query once: the holder's agent reports the flow, and the others rule it out.
+   * Queries to the unresponsive agent are lost.
+   */
+  private void respondAsHeldBy(int holder, int unresponsiveAddress) {
+    while (answeredQueries < actions.asked.size()) {
+      int agent = actions.asked.get(answeredQueries);
+      answeredQueries++;
+      if (agent != unresponsiveAddress) {
+        FlowKnowledge result = agent == holder ? FlowKnowledge.HELD : FlowKnowledge.NOT_HELD;
+        balancer.onQueryResult(agent, FLOW, result, agent, nowMs);
       }
     }
   }
 
-  private void runTicks(int periodMs, int holder, int silentAddress) {
+  private void runTicks(int periodMs, int holder, int unresponsiveAddress) {
     int stepMs = 20;
     for (int passedMs = 0; passedMs < periodMs; passedMs += stepMs) {
       nowMs += stepMs;
-      hearAllBut(silentAddress);
+      reportAllAgentsExcept(unresponsiveAddress);
       balancer.onTick(nowMs);
-      answerAll(holder, silentAddress);
+      respondAsHeldBy(holder, unresponsiveAddress);
     }
   }
 
   @Test
-  void flowHeldByATargetOfLowRankWhoseAgentIsSilentIsNotReset() {
+  void flowHeldByATargetOfLowRankWhoseAgentIsUnresponsiveIsNotReset() {
     int holder = addressesByRank().get(LOW_RANK);
-    hearAllBut(holder);
-    clientGoesOn();
-    answerAll(holder, holder);
+    reportAllAgentsExcept(holder);
+    sendClientData();
+    respondAsHeldBy(holder, holder);
     runTicks(3 * Fleet.POLICY.search().durationMs(), holder, holder);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void flowHeldByATargetOfLowRankIsFound() {
+  void flowHeldByATargetOfLowRankIsLocated() {
     int holder = addressesByRank().get(LOW_RANK);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(holder, 0);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(holder, 0);
     assertThat(actions.forwardedTo).containsExactly(holder);
   }
 
   @Test
-  void flowOfAHighRankedTargetIsFoundWithFewQuestions() {
+  void flowOfAHighRankedTargetIsLocatedWithFewQueries() {
     int holder = addressesByRank().get(1);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(holder, 0);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(holder, 0);
     assertThat(actions.forwardedTo).containsExactly(holder);
-    assertThat(actions.asked.size()).isAtMost(SearchQuestions.FIRST_ASKED);
+    assertThat(actions.asked.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
   }
 
   @Test
-  void flowThatNoTargetHoldsIsResetOnceAllHaveBeenAsked() {
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(0, 0);
+  void flowThatNoTargetHoldsIsResetOnceAllAgentsHaveBeenQueried() {
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(0, 0);
     assertThat(new HashSet<>(actions.asked)).hasSize(TARGETS);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
   @Test
-  void searchWidensAlthoughTheHighestRankedAgentDoesNotAnswer() {
+  void searchQueriesMoreAgentsAlthoughTheHighestRankedOneDoesNotRespond() {
     List<Integer> ranked = addressesByRank();
     int holder = ranked.get(LOW_RANK);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(holder, ranked.get(0));
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(holder, ranked.get(0));
     runTicks(Fleet.POLICY.search().answerTimeoutMs(), holder, ranked.get(0));
     assertThat(actions.forwardedTo).containsExactly(holder);
   }
 
   @Test
-  void agentWhoseFirstAnswerWasLostIsAskedAgain() {
+  void agentWhoseFirstResponseWasLostIsQueriedAgain() {
     int holder = addressesByRank().get(LOW_RANK);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(holder, holder);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(holder, holder);
     runTicks(4 * Fleet.POLICY.search().pauseMs(), holder, 0);
     assertThat(actions.forwardedTo).containsExactly(holder);
     assertThat(actions.reset).isEmpty();
   }
 
-  // After a loss of all machines each lost flow cost 60 offers, and hundreds of flows were lost.
+  // Guards against a burst of offers after all machines have failed: hundreds of flows were lost,
+  // and
+  // each one caused 60 offers.
   @Test
-  void lostFlowIsOfferedToFewTargetsWhereAllHaveStartedAnew() {
-    hearAllBut(0);
-    clientGoesOn();
-    answerAllBy(FlowKnowledge.UNLIKELY);
+  void lostFlowIsOfferedToFewTargetsWhereAllHaveRestarted() {
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondToAll(FlowKnowledge.UNLIKELY);
     returnOffers(0);
-    assertThat(actions.forwardedTo.size()).isAtMost(SearchQuestions.FIRST_ASKED);
+    assertThat(actions.forwardedTo.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
   @Test
-  void likelyTargetKeepsItsFlowThoughItsAgentTakesItForNew() {
-    int holder = addressesByRank().get(SearchQuestions.FIRST_ASKED - 1);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAllBy(FlowKnowledge.UNLIKELY);
+  void likelyTargetKeepsItsFlowThoughItsAgentReportsItAsUnlikely() {
+    int holder = addressesByRank().get(SearchQueries.FIRST_ROUND_SIZE - 1);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondToAll(FlowKnowledge.UNLIKELY);
     returnOffers(holder);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
@@ -203,10 +211,10 @@
   }
 
   @Test
-  void offersPauseAfterAFewAndGoOnUntilAllTargetsHaveReturnedTheSegment() {
-    hearAllBut(0);
-    clientGoesOn();
-    answerAllBy(FlowKnowledge.UNKNOWN);
+  void offersPauseAfterABatchAndContinueUntilAllTargetsHaveReturnedTheSegment() {
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondToAll(FlowKnowledge.UNKNOWN);
     returnOffers(0);
     assertThat(actions.forwardedTo).hasSize(TARGETS / 4);
     for (int i = 0; i < TARGETS; i++) {
@@ -218,49 +226,51 @@
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
-  // An overloaded machine returned offers too late; each time all agents were asked again.
+  // Guards against a search that starts over for each offer that an overloaded machine returns
+  // late:
+  // all agents were queried again each time.
   @Test
-  void searchGoesOnWhereItWasWhenAnOfferIsReturnedLate() {
-    hearAllBut(0);
-    clientGoesOn();
-    answerAllBy(FlowKnowledge.UNKNOWN);
+  void searchResumesWithoutNewQueriesWhenAnOfferIsReturnedLate() {
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondToAll(FlowKnowledge.UNKNOWN);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
-    int questions = actions.asked.size();
+    int queryCount = actions.asked.size();
     returnOffers(0);
-    assertThat(actions.asked).hasSize(questions);
+    assertThat(actions.asked).hasSize(queryCount);
     assertThat(new HashSet<>(actions.forwardedTo).size()).isAtLeast(2);
     assertThat(actions.reset).isEmpty();
   }
 
-  // Three segments at wrong targets while the right one gets none would break the flow.
+  // Three segments sent to wrong targets while the holder receives none would break the flow.
   @Test
-  void flowIsOfferedToTwoTargetsAtMostWhileAnAgentThatMayKnowItIsAway() {
-    int absent = addressesByRank().get(LOW_RANK);
-    for (int repetition = 0; repetition < 3; repetition++) {
-      hearAllBut(absent);
-      clientGoesOn();
+  void flowIsOfferedToAtMostTwoTargetsWhileAnAgentThatMayKnowItIsUnresponsive() {
+    int unresponsive = addressesByRank().get(LOW_RANK);
+    for (int retransmission = 0; retransmission < 3; retransmission++) {
+      reportAllAgentsExcept(unresponsive);
+      sendClientData();
       for (int i = 0; i < 50; i++) {
         nowMs += 20;
         balancer.onTick(nowMs);
-        answerAllBut(absent, FlowKnowledge.UNKNOWN);
+        respondToAllExcept(unresponsive, FlowKnowledge.UNKNOWN);
         returnOffers(0);
       }
     }
-    assertThat(actions.forwardedTo.size()).isAtMost(SearchOffers.MAX_BLIND_OFFERS);
+    assertThat(actions.forwardedTo.size()).isAtMost(SearchOffers.MAX_SPECULATIVE_OFFERS);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void targetThatHasReturnedASegmentIsNotOfferedItsRepetition() {
-    int absent = addressesByRank().get(LOW_RANK);
-    hearAllBut(absent);
-    for (int repetition = 0; repetition < 3; repetition++) {
-      clientGoesOn();
+  void targetThatHasReturnedASegmentIsNotOfferedItsRetransmission() {
+    int unresponsive = addressesByRank().get(LOW_RANK);
+    reportAllAgentsExcept(unresponsive);
+    for (int retransmission = 0; retransmission < 3; retransmission++) {
+      sendClientData();
       for (int i = 0; i < 100; i++) {
         nowMs += 20;
         balancer.onTick(nowMs);
-        answerAllBut(absent, FlowKnowledge.UNKNOWN);
+        respondToAllExcept(unresponsive, FlowKnowledge.UNKNOWN);
         returnOffers(0);
       }
     }
@@ -269,70 +279,73 @@
   }
 
   @Test
-  void holderThatAnswersLateGetsItsFlowBack() {
+  void holderThatRespondsLateGetsItsFlowBack() {
     int holder = addressesByRank().get(LOW_RANK);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAllBut(holder, FlowKnowledge.UNKNOWN);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondToAllExcept(holder, FlowKnowledge.UNKNOWN);
     for (int i = 0; i < 3; i++) {
       nowMs += Fleet.POLICY.search().answerTimeoutMs();
       balancer.onTick(nowMs);
     }
     assertThat(actions.last()).isNotEqualTo(holder);
-    balancer.onKnowledge(holder, FLOW, FlowKnowledge.HELD, holder, nowMs);
-    clientGoesOn();
+    balancer.onQueryResult(holder, FLOW, FlowKnowledge.HELD, holder, nowMs);
+    sendClientData();
     assertThat(actions.last()).isEqualTo(holder);
   }
 
-  // After a recovery one agent a second stopped, each time with its target: for 6 s no search came
-  // to an end, and 266 requests failed by their deadline.
+  // Guards against searches that wait for an agent that has stopped together with its target. After
+  // a
+  // recovery one agent stopped per second, so that no search ended for 6 s and 266 requests
+  // exceeded
+  // their deadline.
   @Test
-  void agentThatStopsAfterItsTargetIsNotWaitedFor() {
+  void searchDoesNotWaitForAnAgentThatStopsAfterItsTarget() {
     int leaving = addressesByRank().get(LOW_RANK);
-    hearAllBut(0);
-    balancer.onAgent(
+    reportAllAgentsExcept(0);
+    balancer.onAgentReport(
         new AgentReport(leaving, Fleet.SERVICE, Fleet.ZONE, 0, true, false, true), nowMs);
-    clientGoesOn();
-    answerAll(0, leaving);
+    sendClientData();
+    respondAsHeldBy(0, leaving);
     assertThat(actions.asked).doesNotContain(leaving);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
-  // It may be restarted beside a target that lives, and holds the flow.
+  // The agent may be restarting while its target runs and holds the flow.
   @Test
-  void agentThatStopsBesideALivingTargetIsWaitedFor() {
+  void searchWaitsForAnAgentThatStopsWhileItsTargetRuns() {
     int stopping = addressesByRank().get(LOW_RANK);
-    hearAllBut(stopping);
-    balancer.onAgent(
+    reportAllAgentsExcept(stopping);
+    balancer.onAgentReport(
         new AgentReport(stopping, Fleet.SERVICE, Fleet.ZONE, 0, true, false, false), nowMs);
-    clientGoesOn();
-    answerAll(0, stopping);
+    sendClientData();
+    respondAsHeldBy(0, stopping);
     assertThat(actions.reset).isEmpty();
   }
 
   @Test
-  void targetThatRunsAgainAtTheAddressOfAnEndedOneIsAskedAgain() {
+  void targetThatStartsAtTheAddressOfAnEndedOneIsQueriedAgain() {
     int address = addressesByRank().get(LOW_RANK);
-    hearAllBut(0);
-    balancer.onAgent(
+    reportAllAgentsExcept(0);
+    balancer.onAgentReport(
         new AgentReport(address, Fleet.SERVICE, Fleet.ZONE, 0, true, false, true), nowMs);
-    hearAllBut(0);
-    clientGoesOn();
-    answerAll(address, 0);
+    reportAllAgentsExcept(0);
+    sendClientData();
+    respondAsHeldBy(address, 0);
     assertThat(actions.forwardedTo).containsExactly(address);
   }
 
   @Test
-  void targetThatHasGoneIsStillAskedThoughItsAgentIsNotHeard() {
+  void goneTargetIsStillQueriedThoughItsAgentIsNotActive() {
     int gone = addressesByRank().get(LOW_RANK);
     List<TargetRecord> listed = new ArrayList<>();
     for (TargetRecord target : targets) {
       listed.add(target.address() == gone ? target.gone(6) : target);
     }
     balancer.onState(Fleet.state(6, listed.toArray(new TargetRecord[0])), nowMs);
-    hearAllBut(gone);
-    clientGoesOn();
-    answerAll(gone, 0);
+    reportAllAgentsExcept(gone);
+    sendClientData();
+    respondAsHeldBy(gone, 0);
     assertThat(actions.forwardedTo).containsExactly(gone);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -115,7 +115,7 @@
         balancers,
         new PeerSender(peerPort, peers, metrics),
         confirmation::advertisedAgeMs,
-        balancer::heardAgentCount);
+        balancer::activeAgentCount);
   }
 
   private BalancerMessages createMessages(AddressCache peers) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessages.java
@@ -77,13 +77,13 @@
       onMalformed(agent, NO_SEGMENT, nowMs);
       return;
     }
-    balancer.onGivenBack(
+    balancer.onReturned(
         agent, giveBack.reason(), giveBack.configurationVersion(), segment, datagram, nowMs);
   }
 
   private void onAnswer(int sender, PeerMessage.Answer answer, long nowMs) {
     for (PeerMessage.FlowAnswer known : answer.flows()) {
-      balancer.onKnowledge(sender, known.flow(), known.knowledge(), known.targetAddress(), nowMs);
+      balancer.onQueryResult(sender, known.flow(), known.knowledge(), known.targetAddress(), nowMs);
     }
   }
 
@@ -113,7 +113,7 @@
   }
 
   private void onAgentBeacon(int agent, PeerMessage.AgentBeacon beacon, long nowMs) {
-    boolean appeared = balancer.onAgent(newsOf(agent, beacon), nowMs);
+    boolean appeared = balancer.onAgentReport(newsOf(agent, beacon), nowMs);
     boolean isNear = beacon.zone().equals(parts.zone);
     boolean looksForBalancers = beacon.balancers().length == 0;
     if (appeared && (isNear || looksForBalancers)) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
@@ -57,7 +57,7 @@
   }
 
   @Override
-  public void ask(int peerAddress, FlowId flow) {
+  public void query(int peerAddress, FlowId flow) {
     questions.ask(peerAddress, flow, MonotonicClock.nowMs());
   }
 
@@ -67,10 +67,10 @@
   }
 
   @Override
-  public void askBalancers(FlowId flow) {
+  public void queryBalancers(FlowId flow) {
     long nowMs = MonotonicClock.nowMs();
     for (int peer : balancers.live(zone, MAX_ASKED_BALANCERS, nowMs)) {
-      ask(peer, flow);
+      query(peer, flow);
     }
   }
 
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public void catchUp(int peerAddress, long configurationVersion) {
+  public void fetchState(int peerAddress, long configurationVersion) {
     // Not each agent keeps a copy of the state.
     int ahead = balancers.mostAdvanced(keeper.state().revision(), MonotonicClock.nowMs());
     catchUp.fetch(ahead == 0 ? peerAddress : ahead);
--- a/lab/src/main/java/io/moorstage/lab/bench/OpenFlows.java
+++ b/lab/src/main/java/io/moorstage/lab/bench/OpenFlows.java
@@ -120,19 +120,19 @@
     public void forward(int agentAddress, ForwardTerms terms, ByteBuffer datagram) {}
 
     @Override
-    public void ask(int peerAddress, FlowId flow) {}
+    public void query(int peerAddress, FlowId flow) {}
 
     @Override
     public void flush() {}
 
     @Override
-    public void askBalancers(FlowId flow) {}
+    public void queryBalancers(FlowId flow) {}
 
     @Override
     public void reset(FlowId flow, int sequence) {}
 
     @Override
-    public void catchUp(int peerAddress, long configurationVersion) {}
+    public void fetchState(int peerAddress, long configurationVersion) {}
   }
 
   private static final class NoAgentActions implements AgentActions {
