--- a/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
@@ -19,7 +19,7 @@
 
   @Nullable private TargetSlot target;
 
-  /** Targets that received the opening segment and returned it or did not answer it. */
+  /** Targets that received the opening segment and returned it or did not respond to it. */
   private final List<TargetSlot> tried = new ArrayList<>(0);
 
   /** Addresses of targets that returned a segment after the opening: they do not hold the flow. */
@@ -37,7 +37,7 @@
   private long lastUsedMs;
   private boolean closed;
 
-  private boolean answered;
+  private boolean targetResponded;
   @Nullable private ForwardTerms terms;
 
   private boolean overridesEjection;
@@ -49,10 +49,10 @@
    */
   private int speculativeOffers;
 
-  private BalancerFlow(FlowId id, String service, boolean answered, long nowMs) {
+  private BalancerFlow(FlowId id, String service, boolean targetResponded, long nowMs) {
     this.id = id;
     this.service = service;
-    this.answered = answered;
+    this.targetResponded = targetResponded;
     this.openedAtMs = nowMs;
     this.lastUsedMs = nowMs;
   }
@@ -101,10 +101,10 @@
 
   /**
    * Returns whether the client has sent a segment after the opening, which implies that a target
-   * has answered the opening.
+   * has accepted the opening.
    */
-  boolean isAnswered() {
-    return answered;
+  boolean hasTargetResponded() {
+    return targetResponded;
   }
 
   /** Returns whether the target has to accept the flow although it is ejected. */
@@ -132,7 +132,7 @@
    * flow.
    */
   void confirmByClient() {
-    answered = true;
+    targetResponded = true;
     confirmed = true;
   }
 
@@ -208,7 +208,7 @@
     return unreturnedOpenings > 0;
   }
 
-  /** Returns the targets that returned the opening segment or did not answer it. */
+  /** Returns the targets that returned the opening segment or did not respond to it. */
   List<TargetSlot> tried() {
     return tried;
   }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -43,7 +43,7 @@
   private final List<EarlySegment> earlySegments = new ArrayList<>();
 
   /** A client segment that arrived before the first configuration. */
-  private record EarlySegment(Segment segment, byte[] datagram, long atMs) {}
+  private record EarlySegment(Segment segment, byte[] datagram, long receivedAtMs) {}
 
   /**
    * Creates a balancer without state.
@@ -82,7 +82,7 @@
     List<EarlySegment> early = new ArrayList<>(earlySegments);
     earlySegments.clear();
     for (EarlySegment segment : early) {
-      if (nowMs - segment.atMs() <= EARLY_SEGMENT_TTL_MS) {
+      if (nowMs - segment.receivedAtMs() <= EARLY_SEGMENT_TTL_MS) {
         onClientSegment(segment.segment(), ByteBuffer.wrap(segment.datagram()), nowMs);
       }
     }
@@ -173,7 +173,7 @@
       locator.startSearch(flow, segment, datagram, nowMs);
       return;
     }
-    if (!flow.isAnswered()) {
+    if (!flow.hasTargetResponded()) {
       flow.confirmByClient();
       target.clearSuspicion();
     }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
@@ -229,7 +229,7 @@
 
   // The flow is opened again under the newer configuration.
   private void removeUnlessOpen(@Nullable BalancerFlow flow) {
-    if (flow != null && !flow.hasUnreturnedOpenings() && !flow.isAnswered()) {
+    if (flow != null && !flow.hasUnreturnedOpenings() && !flow.hasTargetResponded()) {
       tables.remove(flow);
     }
   }
--- a/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
@@ -24,8 +24,8 @@
  * flow.
  *
  * <p>A target that returned an opening gets no new flows for {@code suspicionMs}, or longer if it
- * has left openings unanswered before; a cold one gets none for {@value #COLD_PAUSE_MS} ms. A full
- * target is excluded for this flow only.
+ * has left openings without a response before; a cold one gets none for {@value #COLD_PAUSE_MS} ms.
+ * A full target is excluded for this flow only.
  */
 final class OpeningRetries {
   /**
@@ -44,7 +44,7 @@
     PLACE_AS_NEW,
     /** The target that received the previous copy. */
     SAME_TARGET,
-    /** Another target, since the first one has neither answered nor rejected the opening. */
+    /** Another target, since the first one has neither accepted nor rejected the opening. */
     OTHER_TARGET
   }
 
@@ -56,7 +56,7 @@
     COLD("cold"),
     /** No target has rejected the opening: it may wait for a target, and is reset otherwise. */
     MAY_WAIT("no-target"),
-    /** Reset: every candidate has rejected the opening or left it unanswered. */
+    /** Reset: every candidate has rejected the opening or not responded to it. */
     NO_TARGET("no-target");
 
     private final String reason;
@@ -83,13 +83,13 @@
       return Destination.PLACE_AS_NEW;
     }
     boolean keepsTarget =
-        flow.isAnswered()
-            || mayStillAnswer(flow, target, nowMs)
+        flow.hasTargetResponded()
+            || mayStillRespond(flow, target, nowMs)
             || !hasAlternative(flow, target, nowMs);
     return keepsTarget ? Destination.SAME_TARGET : Destination.OTHER_TARGET;
   }
 
-  private static boolean mayStillAnswer(BalancerFlow flow, TargetSlot target, long nowMs) {
+  private static boolean mayStillRespond(BalancerFlow flow, TargetSlot target, long nowMs) {
     return target.takesNewFlows()
         && target.heardSince(flow.openedAtMs())
         && !target.isSuspect(nowMs);
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Excludes a target from new flows that has returned an opening or left it unanswered. A full
+   * Excludes a target from new flows that has returned an opening or not responded to it. A full
    * target is not excluded from other flows.
    */
   void exclude(TargetSlot target, GiveBackReason reason, long nowMs) {
--- a/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
@@ -123,8 +123,8 @@
         queried++;
       }
     }
-    boolean first = count == FIRST_ROUND_SIZE;
-    boolean queriesBalancers = !first || !search.hasAgentsToQuery();
+    boolean isFirstRound = count == FIRST_ROUND_SIZE;
+    boolean queriesBalancers = !isFirstRound || !search.hasAgentsToQuery();
     if (queriesBalancers && search.markBalancersQueried()) {
       actions.queryBalancers(search.flow().id());
     }
