--- a/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
@@ -47,7 +47,7 @@
   private long busySinceMs;
 
   /** Segments of a request that waits for the target, or null if none waits. */
-  @Nullable private List<byte[]> waiting;
+  @Nullable private List<byte[]> waitingSegments;
 
   private long waitingSinceMs;
 
@@ -122,7 +122,7 @@
     return acknowledged;
   }
 
-  boolean openedByFirstCopy() {
+  boolean wasOpenedByFirstCopy() {
     return openCopy == 0;
   }
 
@@ -153,18 +153,18 @@
   }
 
   /** A balancer has forwarded a segment of the flow. */
-  void forwardedBy(int newBalancerAddress, long nowMs) {
+  void onForwarded(int newBalancerAddress, long nowMs) {
     balancerAddress = newBalancerAddress;
     lastUsedMs = nowMs;
   }
 
   /** The client has acknowledged the target's data up to a sequence number. */
-  void acknowledgedUpTo(int sequence) {
+  void setAcknowledged(int sequence) {
     acknowledged = sequence;
   }
 
   /** The target has sent a segment of the flow. */
-  void answeredBy(Segment segment, long nowMs) {
+  void onTargetSegment(Segment segment, long nowMs) {
     openSegment = null;
     lastUsedMs = nowMs;
     if (segment.kind() != Segment.Kind.OPEN_ACCEPTED) {
@@ -182,17 +182,17 @@
   }
 
   /** The target has lost the flow. */
-  void lose() {
+  void markLost() {
     stage = Stage.LOST;
   }
 
   /** Either end has closed or broken off the flow. */
-  void close() {
+  void markClosed() {
     closed = true;
   }
 
   /** The agent forgets the flow: its opening is not waited for any more. */
-  void forget() {
+  void clearOpening() {
     openSegment = null;
   }
 
@@ -216,35 +216,35 @@
   }
 
   boolean isWaiting() {
-    return waiting != null;
+    return waitingSegments != null;
   }
 
   long waitingSinceMs() {
     return waitingSinceMs;
   }
 
-  int waitingSegments() {
-    return waiting == null ? 0 : waiting.size();
+  int waitingSegmentCount() {
+    return waitingSegments == null ? 0 : waitingSegments.size();
   }
 
   /** A request of the flow waits for the target from now on. */
   void beginWaiting(byte[] datagram, long nowMs) {
-    waiting = new ArrayList<>(1);
-    waiting.add(datagram);
+    waitingSegments = new ArrayList<>(1);
+    waitingSegments.add(datagram);
     waitingSinceMs = nowMs;
   }
 
   /** Keeps a further segment of the request that waits. */
-  void addWaiting(byte[] datagram) {
-    if (waiting != null) {
-      waiting.add(datagram);
+  void addWaitingSegment(byte[] datagram) {
+    if (waitingSegments != null) {
+      waitingSegments.add(datagram);
     }
   }
 
   /** Returns the segments of the request that waited; it waits no longer. */
-  List<byte[]> takeWaiting() {
-    List<byte[]> segments = waiting == null ? List.of() : waiting;
-    waiting = null;
+  List<byte[]> takeWaitingSegments() {
+    List<byte[]> segments = waitingSegments == null ? List.of() : waitingSegments;
+    waitingSegments = null;
     return segments;
   }
 
@@ -253,7 +253,7 @@
   /**
    * Notes how far the client's data has come; returns whether the segment brings any that is new.
    */
-  boolean noteClientData(Segment segment) {
+  boolean recordClientData(Segment segment) {
     int end = segment.sequence() + segment.dataBytes();
     boolean isNew = !clientSequenceKnown || end - clientSequence > 0;
     if (isNew) {
@@ -264,7 +264,7 @@
   }
 
   /** Notes how far the target's data has come. */
-  void noteTargetData(Segment segment) {
+  void recordTargetData(Segment segment) {
     int opening = segment.kind() == Segment.Kind.OPEN_ACCEPTED ? 1 : 0;
     int end = segment.sequence() + segment.dataBytes() + opening;
     if (!targetSequenceKnown || end - targetSequence > 0) {
@@ -277,8 +277,8 @@
    * Returns whether the target has, or may have, sent data before a segment that ends the flow: the
    * short closing segment overtakes the answer now and then, and its sequence number tells.
    */
-  boolean comesBehindData(Segment end) {
-    boolean behind = end.sequence() - targetSequence > 0;
-    return end.kind() == Segment.Kind.CLOSE && (!targetSequenceKnown || behind);
+  boolean followsUnseenData(Segment end) {
+    boolean isBehind = end.sequence() - targetSequence > 0;
+    return end.kind() == Segment.Kind.CLOSE && (!targetSequenceKnown || isBehind);
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
@@ -74,20 +74,20 @@
   }
 
   /** Returns whether the agent has run for so long that its target holds no flow unknown to it. */
-  boolean knowsAll(long nowMs) {
+  boolean isAuthoritative(long nowMs) {
     return nowMs - startedAtMs > memory.flowMs();
   }
 
   /** Hands the target something that it answers. */
   void deliver(ByteBuffer datagram, long nowMs) {
-    target.delivered(nowMs);
+    target.onDelivered(nowMs);
     actions.deliver(datagram);
   }
 
   /** Drops what is known of a flow; its request counts no longer. */
-  void forget(AgentFlow flow, long nowMs) {
+  void remove(AgentFlow flow, long nowMs) {
     requests.drop(flow, nowMs);
-    flow.forget();
+    flow.clearOpening();
     flows.remove(flow.id());
   }
 
@@ -99,17 +99,17 @@
 
   /** The target held the flow and no longer does: nothing can serve it any more. */
   void resetLost(AgentFlow flow, int acknowledged, String reason, long nowMs) {
-    flow.lose();
+    flow.markLost();
     requests.drop(flow, nowMs);
     log.decided(Decision.RESET_LOST, flow.id(), flow.balancerAddress(), reason, -1);
     actions.reset(flow.id(), acknowledged);
   }
 
   /** Gives back the openings that the target has not answered in time. */
-  void giveBackUnanswered(long nowMs) {
-    for (AgentFlow flow = openings.takeOverdue(nowMs);
+  void giveBackOverdueOpenings(long nowMs) {
+    for (AgentFlow flow = openings.pollOverdue(nowMs);
         flow != null;
-        flow = openings.takeOverdue(nowMs)) {
+        flow = openings.pollOverdue(nowMs)) {
       giveBackOpening(flow, flow.unansweredOpening(), GiveBackReason.SILENT, nowMs);
     }
   }
@@ -126,12 +126,12 @@
 
   /** Forgets flows that have ended or rested for long. */
   void sweep(long nowMs) {
-    for (Iterator<AgentFlow> all = flows.values().iterator(); all.hasNext(); ) {
-      AgentFlow flow = all.next();
-      int memoryMs = flow.isClosed() ? memory.closedFlowMs() : memory.flowMs();
-      if (nowMs - flow.lastUsedMs() > memoryMs) {
+    for (Iterator<AgentFlow> iterator = flows.values().iterator(); iterator.hasNext(); ) {
+      AgentFlow flow = iterator.next();
+      int retentionMs = flow.isClosed() ? memory.closedFlowMs() : memory.flowMs();
+      if (nowMs - flow.lastUsedMs() > retentionMs) {
         requests.drop(flow, nowMs);
-        all.remove();
+        iterator.remove();
       }
     }
   }
--- a/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
@@ -25,13 +25,13 @@
   }
 
   /** Takes what a balancer reports; returns whether that is not older than what is known. */
-  boolean update(TargetReport report, long nowMs) {
+  boolean onReport(TargetReport report, long nowMs) {
     if (!admission.update(report, nowMs)) {
       return false;
     }
     if (incarnation.update(report.startNumber(), report.tookOver())) {
-      liveness.heard();
-      outliers.startedAgain();
+      liveness.markAlive();
+      outliers.reset();
     }
     return true;
   }
@@ -52,41 +52,41 @@
   }
 
   /** Returns whether the target has most likely started no sooner than the agent. */
-  boolean startedBesideAgent() {
-    return incarnation.startedBesideAgent();
+  boolean startedAfterAgent() {
+    return incarnation.startedAfterAgent();
   }
 
   /** The target has been handed something that it answers. */
-  void delivered(long nowMs) {
-    liveness.delivered(nowMs);
+  void onDelivered(long nowMs) {
+    liveness.onDelivered(nowMs);
   }
 
   /** The target has sent a segment. */
-  void heard() {
-    liveness.heard();
+  void markAlive() {
+    liveness.markAlive();
   }
 
   /** The target has sent a segment of a flow that the agent does not know. */
-  void heldUnknownFlow() {
-    incarnation.heldUnknownFlow();
+  void onUnknownFlow() {
+    incarnation.onUnknownFlow();
   }
 
   /** The target answers a flow's request that was in progress. */
-  void answered(AgentFlow flow, long nowMs) {
-    liveness.answered(nowMs - flow.busySinceMs());
-    outliers.succeeded(nowMs);
+  void onAnswer(AgentFlow flow, long nowMs) {
+    liveness.recordAnswer(nowMs - flow.busySinceMs());
+    outliers.recordSuccess(nowMs);
   }
 
   /** The target has broken off a flow's request that its client waits for. */
-  void brokeOff(AgentFlow flow, long nowMs) {
-    if (outliers.failed(nowMs)) {
+  void onRequestBrokenOff(AgentFlow flow, long nowMs) {
+    if (outliers.recordFailure(nowMs)) {
       logUnfit(flow, "broken-off", nowMs);
     }
   }
 
   /** Notices a target that has stalled, by its oldest request. */
-  void noticeStall(AgentFlow oldest, long nowMs) {
-    if (outliers.noticeStall(oldest.busySinceMs(), liveness.meanAnswerMs(), nowMs)) {
+  void detectStall(AgentFlow oldest, long nowMs) {
+    if (outliers.detectStall(oldest.busySinceMs(), liveness.meanAnswerMs(), nowMs)) {
       logUnfit(oldest, "stalled", nowMs);
     }
   }
@@ -97,12 +97,12 @@
   }
 
   /** Returns whether to check now whether the target's process runs. */
-  boolean takeCheck(long nowMs) {
-    return liveness.takeCheck(nowMs);
+  boolean pollDueCheck(long nowMs) {
+    return liveness.pollDueCheck(nowMs);
   }
 
   /** Takes what a check has found; returns whether the target has turned out to have ended. */
-  boolean checked(boolean refused, long nowMs) {
-    return liveness.checked(refused, nowMs);
+  boolean onCheckResult(boolean refused, long nowMs) {
+    return liveness.onCheckResult(refused, nowMs);
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/ColdStartLimit.java
+++ b/core/src/main/java/io/moorstage/core/agent/ColdStartLimit.java
@@ -37,9 +37,9 @@
    */
   void update(TargetReport report, long nowMs) {
     boolean started = report.startNumber() != startNumber;
-    boolean turnedCold = report.slowStartMs() > slowStartMs;
-    boolean lifted = evacuated && !report.evacuated();
-    if (started || turnedCold || lifted) {
+    boolean slowStartExtended = report.slowStartMs() > slowStartMs;
+    boolean evacuationEnded = evacuated && !report.evacuated();
+    if (started || slowStartExtended || evacuationEnded) {
       coldSinceMs = nowMs;
     }
     startNumber = report.startNumber();
@@ -53,7 +53,7 @@
    *
    * @param openingsPerS how many it bears in a second while it is cold; 0 for no limit
    */
-  boolean admits(int openingsPerS, long nowMs) {
+  boolean tryAdmit(int openingsPerS, long nowMs) {
     if (openingsPerS <= 0) {
       return true;
     }
--- a/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
+++ b/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
@@ -45,10 +45,10 @@
    *
    * @return whether the target's phase, or the evacuation of its zone, has changed
    */
-  public synchronized boolean onTarget(TargetReport report, long nowMs) {
+  public synchronized boolean onTargetReport(TargetReport report, long nowMs) {
     TargetPhase phaseBefore = target.admission().phase();
     boolean evacuatedBefore = target.admission().isEvacuated();
-    if (!target.update(report, nowMs)) {
+    if (!target.onReport(report, nowMs)) {
       return false;
     }
     flows.requests().setCapacity(report.capacity());
@@ -66,7 +66,7 @@
    * @param refused whether the machine has refused the connection: no process has the port
    */
   public synchronized void onTargetCheck(boolean refused, long nowMs) {
-    if (!target.checked(refused, nowMs)) {
+    if (!target.onCheckResult(refused, nowMs)) {
       return;
     }
     for (AgentFlow flow : flows.all()) {
@@ -80,7 +80,7 @@
       flows.giveBackOpening(flow, opening, GiveBackReason.ENDED, nowMs);
     } else if (flow.stage() != AgentFlow.Stage.OPEN) {
       // It may be held elsewhere: what the client sends next goes back to the balancer.
-      flows.forget(flow, nowMs);
+      flows.remove(flow, nowMs);
     } else if (flow.isBusy() || flow.isWaiting()) {
       flows.resetLost(flow, flow.acknowledged(), "target-ended", nowMs);
     }
@@ -126,13 +126,13 @@
   }
 
   /** Answers a balancer that asks for a flow. */
-  public synchronized FlowKnowledge onAsked(FlowId id, long nowMs) {
+  public synchronized FlowKnowledge onQuery(FlowId id, long nowMs) {
     AgentFlow flow = flows.get(id);
     if (flow == null) {
-      return knowledgeOfUnknown(nowMs);
+      return answerForUnknownFlow(nowMs);
     }
     return switch (flow.stage()) {
-      case OFFERED -> knowledgeOfUnknown(nowMs);
+      case OFFERED -> answerForUnknownFlow(nowMs);
       case LOST -> FlowKnowledge.LOST;
       case WITHDRAWN -> FlowKnowledge.NOT_HELD;
       case OPEN -> target.hasEnded() ? FlowKnowledge.LOST : FlowKnowledge.HELD;
@@ -140,21 +140,21 @@
     };
   }
 
-  private FlowKnowledge knowledgeOfUnknown(long nowMs) {
-    if (flows.knowsAll(nowMs) || target.hasEnded()) {
+  private FlowKnowledge answerForUnknownFlow(long nowMs) {
+    if (flows.isAuthoritative(nowMs) || target.hasEnded()) {
       return FlowKnowledge.NOT_HELD;
     }
-    return target.startedBesideAgent() ? FlowKnowledge.UNLIKELY : FlowKnowledge.UNKNOWN;
+    return target.startedAfterAgent() ? FlowKnowledge.UNLIKELY : FlowKnowledge.UNKNOWN;
   }
 
   /** Handles what is due; called every few tens of milliseconds. */
   public synchronized void onTick(long nowMs) {
-    flows.giveBackUnanswered(nowMs);
+    flows.giveBackOverdueOpenings(nowMs);
     AgentFlow oldest = flows.requests().oldest();
     if (oldest != null) {
-      target.noticeStall(oldest, nowMs);
+      target.detectStall(oldest, nowMs);
     }
-    if (target.takeCheck(nowMs)) {
+    if (target.pollDueCheck(nowMs)) {
       actions.checkTarget();
     }
     flows.requests().onTick(nowMs);
--- a/core/src/main/java/io/moorstage/core/agent/ForwardedSegments.java
+++ b/core/src/main/java/io/moorstage/core/agent/ForwardedSegments.java
@@ -37,20 +37,22 @@
   void onForwarded(
       int balancerAddress, ForwardTerms terms, Segment segment, ByteBuffer datagram, long nowMs) {
     if (segment.kind() == Segment.Kind.OPEN) {
-      open(balancerAddress, terms, segment, datagram, nowMs);
+      onOpening(balancerAddress, terms, segment, datagram, nowMs);
       return;
     }
-    AgentFlow flow = heldOrOffered(balancerAddress, terms, segment, nowMs);
+    AgentFlow flow = findOrOffer(balancerAddress, terms, segment, nowMs);
     if (flow == null) {
       flows.giveBack(balancerAddress, GiveBackReason.NOT_HELD, segment, datagram);
       return;
     }
-    flow.forwardedBy(balancerAddress, nowMs);
-    flow.acknowledgedUpTo(segment.acknowledged());
+    flow.onForwarded(balancerAddress, nowMs);
+    flow.setAcknowledged(segment.acknowledged());
     if (target.hasEnded()) {
       resetOrGiveBack(flow, segment, datagram, nowMs);
-    } else if (!flows.requests().mustWait(flow, terms.timeoutMs(), segment, datagram, nowMs)) {
-      passOn(flow, segment, datagram, nowMs);
+    } else if (!flows
+        .requests()
+        .enqueueIfRequired(flow, terms.timeoutMs(), segment, datagram, nowMs)) {
+      deliver(flow, segment, datagram, nowMs);
     }
   }
 
@@ -60,13 +62,13 @@
    * has not run for long enough to know all.
    */
   @Nullable
-  private AgentFlow heldOrOffered(
+  private AgentFlow findOrOffer(
       int balancerAddress, ForwardTerms terms, Segment segment, long nowMs) {
     AgentFlow known = flows.get(segment.flow());
     if (known != null) {
       return known.stage() == AgentFlow.Stage.WITHDRAWN ? null : known;
     }
-    if (!terms.service().equals(service) || flows.knowsAll(nowMs) || target.hasEnded()) {
+    if (!terms.service().equals(service) || flows.isAuthoritative(nowMs) || target.hasEnded()) {
       return null;
     }
     AgentFlow offered = AgentFlow.offered(segment.flow(), balancerAddress, nowMs);
@@ -74,12 +76,12 @@
     return offered;
   }
 
-  private void passOn(AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
+  private void deliver(AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
     boolean hasData = segment.dataBytes() > 0;
-    if (hasData && flow.noteClientData(segment) && !flow.isClosed()) {
+    if (hasData && flow.recordClientData(segment) && !flow.isClosed()) {
       flows.requests().begin(flow, nowMs);
     }
-    noteClientEnd(flow, segment, nowMs);
+    recordClientEnd(flow, segment, nowMs);
     if (hasData) {
       flows.deliver(datagram, nowMs);
     } else {
@@ -91,36 +93,36 @@
     if (flow.wasHeld()) {
       flows.resetLost(flow, segment.acknowledged(), "target-ended", nowMs);
     } else {
-      flows.forget(flow, nowMs);
+      flows.remove(flow, nowMs);
       flows.giveBack(flow.balancerAddress(), GiveBackReason.NOT_HELD, segment, datagram);
     }
   }
 
-  private void open(
+  private void onOpening(
       int balancerAddress, ForwardTerms terms, Segment segment, ByteBuffer datagram, long nowMs) {
-    GiveBackReason refusal = target.admission().refusal(terms, nowMs);
-    if (refusal != null) {
-      flows.giveBack(balancerAddress, refusal, segment, datagram);
+    GiveBackReason reason = target.admission().rejectionReason(terms, nowMs);
+    if (reason != null) {
+      flows.giveBack(balancerAddress, reason, segment, datagram);
       return;
     }
     AgentFlow flow = flows.get(segment.flow());
     if (flow == null || !flow.isAcceptedOrOpen()) {
       if (flow != null) {
-        flows.forget(flow, nowMs);
+        flows.remove(flow, nowMs);
       }
       flow = AgentFlow.opening(segment, Datagrams.copyOf(datagram), balancerAddress, nowMs);
       flows.addOpening(flow);
     }
-    flow.forwardedBy(balancerAddress, nowMs);
+    flow.onForwarded(balancerAddress, nowMs);
     log.decided(Decision.DELIVERED, flow.id(), balancerAddress, "open", -1);
     flows.deliver(datagram, nowMs);
   }
 
-  private void noteClientEnd(AgentFlow flow, Segment segment, long nowMs) {
+  private void recordClientEnd(AgentFlow flow, Segment segment, long nowMs) {
     if (segment.kind() == Segment.Kind.CLOSE) {
-      flow.close();
+      flow.markClosed();
     } else if (segment.kind() == Segment.Kind.RESET) {
-      flow.close();
+      flow.markClosed();
       flows.requests().end(flow, nowMs);
     }
   }
--- a/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
+++ b/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
@@ -29,7 +29,7 @@
   private final TargetLiveness liveness;
   private final OutlierDetector outliers;
   private final ColdStartLimit coldLimit;
-  private final boolean refusesOutliers;
+  private final boolean rejectsOutliers;
   private long configurationVersion;
   private TargetPhase phase = TargetPhase.READY;
   private boolean evacuated;
@@ -46,7 +46,7 @@
     this.liveness = liveness;
     this.outliers = outliers;
     this.coldLimit = new ColdStartLimit(nowMs);
-    this.refusesOutliers =
+    this.rejectsOutliers =
         policy.uses(Mechanism.OUTLIER_REFUSAL) && policy.uses(Mechanism.OUTLIER_DETECTION);
   }
 
@@ -56,7 +56,7 @@
       return false;
     }
     revision = report.revision();
-    phase = phaseAfter(report);
+    phase = mergedPhase(report);
     startNumber = report.startNumber();
     evacuated = report.evacuated();
     coldLimit.update(report, nowMs);
@@ -65,9 +65,9 @@
 
   // A balancer that has just started may have read a source that has come back from an older copy,
   // and report a leaving target as ready until the target has written again.
-  private TargetPhase phaseAfter(TargetReport report) {
-    boolean takesBack = phase == TargetPhase.DRAINING && report.phase() == TargetPhase.READY;
-    return takesBack && report.startNumber() == startNumber ? phase : report.phase();
+  private TargetPhase mergedPhase(TargetReport report) {
+    boolean revertsDraining = phase == TargetPhase.DRAINING && report.phase() == TargetPhase.READY;
+    return revertsDraining && report.startNumber() == startNumber ? phase : report.phase();
   }
 
   TargetPhase phase() {
@@ -85,11 +85,11 @@
 
   /** Returns why an opening must not reach the target, or null if it may; counts it if so. */
   @Nullable
-  GiveBackReason refusal(ForwardTerms terms, long nowMs) {
+  GiveBackReason rejectionReason(ForwardTerms terms, long nowMs) {
     if (liveness.hasEnded()) {
       return GiveBackReason.ENDED;
     }
-    if (isRefusedAsOutlier(terms, nowMs)) {
+    if (isRejectedAsOutlier(terms, nowMs)) {
       return GiveBackReason.UNFIT;
     }
     if (!terms.service().equals(service)) {
@@ -105,12 +105,12 @@
     if (evacuated) {
       return GiveBackReason.EVACUATED;
     }
-    return coldLimit.admits(terms.coldOpeningsPerS(), nowMs) ? null : GiveBackReason.COLD;
+    return coldLimit.tryAdmit(terms.coldOpeningsPerS(), nowMs) ? null : GiveBackReason.COLD;
   }
 
   // Where most targets of a service are ejected, its balancer insists: the fault may lie elsewhere.
-  private boolean isRefusedAsOutlier(ForwardTerms terms, long nowMs) {
-    boolean mayRefuse = refusesOutliers && !terms.insists() && outliers.isEjected();
-    return mayRefuse && !outliers.admits(terms.repeatable(), nowMs);
+  private boolean isRejectedAsOutlier(ForwardTerms terms, long nowMs) {
+    boolean mayReject = rejectsOutliers && !terms.insists() && outliers.isEjected();
+    return mayReject && !outliers.tryAdmit(terms.repeatable(), nowMs);
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/OutlierDetector.java
+++ b/core/src/main/java/io/moorstage/core/agent/OutlierDetector.java
@@ -14,10 +14,10 @@
  */
 final class OutlierDetector {
   /** A target that has crashed and started again may break off one or two requests. */
-  private static final int FAILURES_IN_ROW = 3;
+  private static final int CONSECUTIVE_FAILURES = 3;
 
   /** First ejection; doubled after each probe that fails. Not measured. */
-  private static final int EJECTION_MS = 1_000;
+  private static final int BASE_EJECTION_MS = 1_000;
 
   /** At most four seconds: a target has to be back soon after it has recovered. Not measured. */
   private static final int MAX_DOUBLINGS = 2;
@@ -31,7 +31,7 @@
   /**
    * ... unless its requests take long: up to six times their mean, and 1.6 times that when cold.
    */
-  private static final int STALL_IN_ANSWER_TIMES = 10;
+  private static final int STALL_FACTOR = 10;
 
   private enum State {
     IN_USE,
@@ -40,23 +40,23 @@
   }
 
   private State state = State.IN_USE;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMs;
-  private long answeredAtMs;
+  private long lastAnswerAtMs;
   private long probedAtMs;
 
   /** The target has started again: the failures were those of the start before. */
-  void startedAgain() {
+  void reset() {
     state = State.IN_USE;
-    failuresInRow = 0;
+    consecutiveFailures = 0;
     ejections = 0;
   }
 
   /** The target has answered a request. */
-  void succeeded(long nowMs) {
-    answeredAtMs = nowMs;
-    failuresInRow = 0;
+  void recordSuccess(long nowMs) {
+    lastAnswerAtMs = nowMs;
+    consecutiveFailures = 0;
     if (state == State.PROBING) {
       state = State.IN_USE;
       ejections = 0;
@@ -68,10 +68,11 @@
    *
    * @return whether the target is ejected by that
    */
-  boolean failed(long nowMs) {
-    failuresInRow++;
+  boolean recordFailure(long nowMs) {
+    consecutiveFailures++;
     boolean ejects =
-        state == State.PROBING || (state == State.IN_USE && failuresInRow >= FAILURES_IN_ROW);
+        state == State.PROBING
+            || (state == State.IN_USE && consecutiveFailures >= CONSECUTIVE_FAILURES);
     if (ejects) {
       eject(nowMs);
     }
@@ -81,14 +82,14 @@
   /**
    * Notices a target that has stalled.
    *
-   * @param oldestSinceMs since when the oldest request has been in progress
+   * @param oldestStartedAtMs since when the oldest request has been in progress
    * @param meanAnswerMs how long requests take in the mean
    * @return whether the target is ejected by that
    */
-  boolean noticeStall(long oldestSinceMs, double meanAnswerMs, long nowMs) {
-    long quietMs = nowMs - Math.max(answeredAtMs, oldestSinceMs);
-    boolean quiet = quietMs > Math.max(MIN_STALL_MS, STALL_IN_ANSWER_TIMES * meanAnswerMs);
-    boolean ejects = quiet && state != State.EJECTED;
+  boolean detectStall(long oldestStartedAtMs, double meanAnswerMs, long nowMs) {
+    long unansweredMs = nowMs - Math.max(lastAnswerAtMs, oldestStartedAtMs);
+    boolean stalled = unansweredMs > Math.max(MIN_STALL_MS, STALL_FACTOR * meanAnswerMs);
+    boolean ejects = stalled && state != State.EJECTED;
     if (ejects) {
       eject(nowMs);
     }
@@ -99,7 +100,7 @@
     int doublings = Math.min(ejections, MAX_DOUBLINGS);
     ejections++;
     state = State.EJECTED;
-    ejectedUntilMs = nowMs + ((long) EJECTION_MS << doublings);
+    ejectedUntilMs = nowMs + ((long) BASE_EJECTION_MS << doublings);
   }
 
   /** Returns whether the target gets no new flow, or one at most. */
@@ -112,17 +113,17 @@
    *
    * @param repeatable whether its requests may be repeated: a probe that fails costs them less
    */
-  boolean admits(boolean repeatable, long nowMs) {
+  boolean tryAdmit(boolean repeatable, long nowMs) {
     if (state == State.IN_USE) {
       return true;
     }
     if (nowMs < ejectedUntilMs) {
       return false;
     }
-    boolean mustProbe = nowMs - ejectedUntilMs > EJECTION_MS;
-    boolean probeIsLost = state == State.PROBING && nowMs - probedAtMs > EJECTION_MS;
-    boolean due = state == State.EJECTED || probeIsLost;
-    if (!due || (!repeatable && !mustProbe)) {
+    boolean anyFlowMayProbe = nowMs - ejectedUntilMs > BASE_EJECTION_MS;
+    boolean probeTimedOut = state == State.PROBING && nowMs - probedAtMs > BASE_EJECTION_MS;
+    boolean probeDue = state == State.EJECTED || probeTimedOut;
+    if (!probeDue || (!repeatable && !anyFlowMayProbe)) {
       return false;
     }
     state = State.PROBING;
--- a/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
@@ -13,7 +13,7 @@
  */
 final class PendingOpenings {
   private final int answerTimeoutMs;
-  private final Deque<AgentFlow> inOrder = new ArrayDeque<>();
+  private final Deque<AgentFlow> pending = new ArrayDeque<>();
 
   /**
    * Creates an empty queue.
@@ -26,14 +26,14 @@
 
   /** An opening goes to the target now. */
   void add(AgentFlow flow) {
-    inOrder.add(flow);
+    pending.add(flow);
   }
 
   /** Takes the next flow whose opening was not answered in time; returns null if there is none. */
   @Nullable
-  AgentFlow takeOverdue(long nowMs) {
-    while (!inOrder.isEmpty() && nowMs - inOrder.peek().openedAtMs() >= answerTimeoutMs) {
-      AgentFlow flow = inOrder.poll();
+  AgentFlow pollOverdue(long nowMs) {
+    while (!pending.isEmpty() && nowMs - pending.peek().openedAtMs() >= answerTimeoutMs) {
+      AgentFlow flow = pending.poll();
       if (flow.unansweredOpening() != null) {
         return flow;
       }
--- a/core/src/main/java/io/moorstage/core/agent/RequestGate.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestGate.java
@@ -27,15 +27,15 @@
   /** A queue whose oldest request has waited for so long does not drain. Not measured. */
   private static final int STANDING_QUEUE_MS = 40;
 
-  private final boolean takesNewestFirst;
+  private final boolean servesNewestFirst;
   private final int longWaitMs;
   private final int maxWaitMs;
   private final Deque<AgentFlow> newRequests = new ArrayDeque<>();
-  private final Deque<AgentFlow> oldRequests = new ArrayDeque<>();
-  private final Deque<AgentFlow> begun = new ArrayDeque<>();
+  private final Deque<AgentFlow> possibleRetries = new ArrayDeque<>();
+  private final Deque<AgentFlow> started = new ArrayDeque<>();
   private int capacity;
   private int inProgress;
-  private boolean lastHadWaitedLong;
+  private boolean lastWasLongWaiting;
 
   /**
    * Creates an open gate.
@@ -46,7 +46,7 @@
    *     pass
    */
   RequestGate(ForwardingPolicy policy, int capacity) {
-    this.takesNewestFirst = policy.uses(Mechanism.NEWEST_FIRST);
+    this.servesNewestFirst = policy.uses(Mechanism.NEWEST_FIRST);
     this.longWaitMs =
         policy.uses(Mechanism.LONG_WAIT_TURNS) ? policy.requests().turnMs() : Integer.MAX_VALUE;
     this.maxWaitMs = policy.requests().waitMs();
@@ -63,10 +63,10 @@
     return inProgress;
   }
 
-  /** A flow's request has begun at the target. */
-  void began(AgentFlow flow) {
+  /** A flow's request has started at the target. */
+  void addInProgress(AgentFlow flow) {
     inProgress++;
-    begun.addLast(flow);
+    started.addLast(flow);
   }
 
   /**
@@ -74,12 +74,12 @@
    * is none: its answer was lost, or it was a repetition of a request that had its answer.
    */
   @Nullable
-  AgentFlow stale(int forgetMs, long nowMs) {
-    for (AgentFlow flow = begun.peekFirst(); flow != null; flow = begun.peekFirst()) {
-      if (flow.isBusy() && nowMs - flow.busySinceMs() < forgetMs) {
+  AgentFlow pollStale(int staleAfterMs, long nowMs) {
+    for (AgentFlow flow = started.peekFirst(); flow != null; flow = started.peekFirst()) {
+      if (flow.isBusy() && nowMs - flow.busySinceMs() < staleAfterMs) {
         return null;
       }
-      begun.pollFirst();
+      started.pollFirst();
       if (flow.isBusy()) {
         return flow;
       }
@@ -90,17 +90,17 @@
   /** Returns the flow whose request has been in progress for longest, or null if there is none. */
   @Nullable
   AgentFlow oldest() {
-    for (AgentFlow flow = begun.peekFirst(); flow != null; flow = begun.peekFirst()) {
+    for (AgentFlow flow = started.peekFirst(); flow != null; flow = started.peekFirst()) {
       if (flow.isBusy()) {
         return flow;
       }
-      begun.pollFirst();
+      started.pollFirst();
     }
     return null;
   }
 
   /** A request has ended at the target, or no longer counts. */
-  void ended() {
+  void removeInProgress() {
     inProgress--;
   }
 
@@ -111,33 +111,33 @@
 
   /** Lets a flow's request wait. */
   void add(AgentFlow flow, boolean isNew) {
-    (isNew ? newRequests : oldRequests).addLast(flow);
+    (isNew ? newRequests : possibleRetries).addLast(flow);
   }
 
   /** Returns the flow whose request goes next, or null if none waits or the gate is closed. */
   @Nullable
-  AgentFlow next(long nowMs) {
+  AgentFlow pollNext(long nowMs) {
     if (!isOpen()) {
       return null;
     }
-    AgentFlow longWaiting = lastHadWaitedLong ? null : overdue(longWaitMs, nowMs);
-    lastHadWaitedLong = longWaiting != null;
+    AgentFlow longWaiting = lastWasLongWaiting ? null : pollOverdue(longWaitMs, nowMs);
+    lastWasLongWaiting = longWaiting != null;
     if (longWaiting != null) {
       return longWaiting;
     }
-    AgentFlow flow = take(newRequests, nowMs);
-    return flow != null ? flow : take(oldRequests, nowMs);
+    AgentFlow flow = poll(newRequests, nowMs);
+    return flow != null ? flow : poll(possibleRetries, nowMs);
   }
 
   @Nullable
-  private AgentFlow take(Deque<AgentFlow> queue, long nowMs) {
-    dropEnded(queue);
+  private AgentFlow poll(Deque<AgentFlow> queue, long nowMs) {
+    dropNoLongerWaiting(queue);
     AgentFlow oldest = queue.peekFirst();
     if (oldest == null) {
       return null;
     }
-    boolean standing = nowMs - oldest.waitingSinceMs() > STANDING_QUEUE_MS;
-    AgentFlow flow = standing && takesNewestFirst ? queue.pollLast() : queue.pollFirst();
+    boolean isStanding = nowMs - oldest.waitingSinceMs() > STANDING_QUEUE_MS;
+    AgentFlow flow = isStanding && servesNewestFirst ? queue.pollLast() : queue.pollFirst();
     while (flow != null && !flow.isWaiting()) {
       flow = queue.pollLast();
     }
@@ -145,7 +145,7 @@
   }
 
   // Flows that ended while they waited stay in the queue until they come up.
-  private static void dropEnded(Deque<AgentFlow> queue) {
+  private static void dropNoLongerWaiting(Deque<AgentFlow> queue) {
     while (!queue.isEmpty() && !queue.peekFirst().isWaiting()) {
       queue.pollFirst();
     }
@@ -153,21 +153,21 @@
 
   /** Returns a flow whose request has waited for as long as it may, or null if there is none. */
   @Nullable
-  AgentFlow overdue(long nowMs) {
-    return overdue(maxWaitMs, nowMs);
+  AgentFlow pollOverdue(long nowMs) {
+    return pollOverdue(maxWaitMs, nowMs);
   }
 
   @Nullable
-  private AgentFlow overdue(int waitMs, long nowMs) {
-    AgentFlow flow = overdueOf(newRequests, waitMs, nowMs);
-    return flow != null ? flow : overdueOf(oldRequests, waitMs, nowMs);
+  private AgentFlow pollOverdue(int waitMs, long nowMs) {
+    AgentFlow flow = pollOverdueFrom(newRequests, waitMs, nowMs);
+    return flow != null ? flow : pollOverdueFrom(possibleRetries, waitMs, nowMs);
   }
 
   @Nullable
-  private static AgentFlow overdueOf(Deque<AgentFlow> queue, int waitMs, long nowMs) {
-    dropEnded(queue);
+  private static AgentFlow pollOverdueFrom(Deque<AgentFlow> queue, int waitMs, long nowMs) {
+    dropNoLongerWaiting(queue);
     AgentFlow oldest = queue.peekFirst();
-    boolean due = oldest != null && nowMs - oldest.waitingSinceMs() >= waitMs;
-    return due ? queue.pollFirst() : null;
+    boolean isOverdue = oldest != null && nowMs - oldest.waitingSinceMs() >= waitMs;
+    return isOverdue ? queue.pollFirst() : null;
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
@@ -25,11 +25,11 @@
    * in vain: letting all wait cost a deployment with short time-outs 0.10 of its score, and gained
    * one with long ones 0.03 (one trial each, against 2.5 waits).
    */
-  private static final double MIN_TIMEOUT_IN_WAITS = 2.0;
+  private static final double MIN_TIMEOUT_TO_WAIT_RATIO = 2.0;
 
-  private final boolean mayWait;
+  private final boolean queueingEnabled;
   private final double minTimeoutMs;
-  private final int forgetMs;
+  private final int staleAfterMs;
   private final RequestGate gate;
   private final Delivery delivery;
   private int waitingFlows;
@@ -41,9 +41,9 @@
   }
 
   RequestQueue(ForwardingPolicy policy, Delivery delivery) {
-    this.mayWait = policy.uses(Mechanism.GATE);
-    this.minTimeoutMs = MIN_TIMEOUT_IN_WAITS * policy.requests().waitMs();
-    this.forgetMs = policy.requests().forgetMs();
+    this.queueingEnabled = policy.uses(Mechanism.GATE);
+    this.minTimeoutMs = MIN_TIMEOUT_TO_WAIT_RATIO * policy.requests().waitMs();
+    this.staleAfterMs = policy.requests().forgetMs();
     this.gate = new RequestGate(policy, 0);
     this.delivery = delivery;
   }
@@ -64,17 +64,17 @@
   }
 
   /** Takes a client's segment; returns whether it waits, and is not to be delivered now. */
-  boolean mustWait(
+  boolean enqueueIfRequired(
       AgentFlow flow, int timeoutMs, Segment segment, ByteBuffer datagram, long nowMs) {
     if (flow.isWaiting()) {
-      return keepWaiting(flow, segment, datagram, nowMs);
+      return addToWaitingRequest(flow, segment, datagram, nowMs);
     }
-    boolean begins = segment.dataBytes() > 0 && !flow.isBusy() && !flow.isClosed();
+    boolean startsRequest = segment.dataBytes() > 0 && !flow.isBusy() && !flow.isClosed();
     boolean hasTime = timeoutMs >= minTimeoutMs;
-    if (!begins || !hasTime || gate.isOpen() || !mayWait) {
+    if (!startsRequest || !hasTime || gate.isOpen() || !queueingEnabled) {
       return false;
     }
-    if (!flow.noteClientData(segment)) {
+    if (!flow.recordClientData(segment)) {
       return false;
     }
     flow.beginWaiting(Datagrams.copyOf(datagram), nowMs);
@@ -83,22 +83,23 @@
     return true;
   }
 
-  private boolean keepWaiting(AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
+  private boolean addToWaitingRequest(
+      AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
     if (segment.kind() == Segment.Kind.RESET) {
-      stopWaiting(flow);
+      cancelWaiting(flow);
       return false;
     }
     if (segment.dataBytes() == 0 && segment.kind() == Segment.Kind.DATA) {
       return false;
     }
-    boolean isNew = segment.kind() == Segment.Kind.CLOSE || flow.noteClientData(segment);
-    if (isNew && flow.waitingSegments() < MAX_WAITING_SEGMENTS) {
-      flow.addWaiting(Datagrams.copyOf(datagram));
+    boolean isNew = segment.kind() == Segment.Kind.CLOSE || flow.recordClientData(segment);
+    if (isNew && flow.waitingSegmentCount() < MAX_WAITING_SEGMENTS) {
+      flow.addWaitingSegment(Datagrams.copyOf(datagram));
     }
     if (segment.kind() == Segment.Kind.CLOSE) {
       // Nobody waits for the answer any more. The target, which learns so at once, drops the
       // request.
-      flow.close();
+      flow.markClosed();
       release(flow, nowMs);
     }
     return true;
@@ -107,15 +108,16 @@
   // A request is new if the agent has seen its flow open just now at the first attempt, or has seen
   // the answer before it; any other may be a repetition.
   private static boolean isKnownToBeNew(AgentFlow flow, long nowMs) {
-    boolean recent = nowMs - flow.openedAtMs() < JUST_OPENED_MS;
-    boolean atFirstAttempt = flow.stage() == AgentFlow.Stage.ACCEPTED && flow.openedByFirstCopy();
-    return (recent && atFirstAttempt) || flow.isAnswered();
+    boolean openedRecently = nowMs - flow.openedAtMs() < JUST_OPENED_MS;
+    boolean atFirstAttempt =
+        flow.stage() == AgentFlow.Stage.ACCEPTED && flow.wasOpenedByFirstCopy();
+    return (openedRecently && atFirstAttempt) || flow.isAnswered();
   }
 
   /** A flow's request no longer waits, and what it has sent is dropped. */
-  void stopWaiting(AgentFlow flow) {
+  void cancelWaiting(AgentFlow flow) {
     if (flow.isWaiting()) {
-      flow.takeWaiting();
+      flow.takeWaitingSegments();
       waitingFlows--;
     }
   }
@@ -124,7 +126,7 @@
   void begin(AgentFlow flow, long nowMs) {
     if (!flow.isBusy()) {
       flow.beginRequest(nowMs);
-      gate.began(flow);
+      gate.addInProgress(flow);
     }
   }
 
@@ -134,15 +136,15 @@
       return;
     }
     flow.endRequest();
-    gate.ended();
-    for (AgentFlow next = gate.next(nowMs); next != null; next = gate.next(nowMs)) {
+    gate.removeInProgress();
+    for (AgentFlow next = gate.pollNext(nowMs); next != null; next = gate.pollNext(nowMs)) {
       release(next, nowMs);
     }
   }
 
   /** Drops a flow's request, whether it waits or is in progress. */
   void drop(AgentFlow flow, long nowMs) {
-    stopWaiting(flow);
+    cancelWaiting(flow);
     end(flow, nowMs);
   }
 
@@ -150,7 +152,7 @@
     if (!flow.isWaiting()) {
       return;
     }
-    List<byte[]> segments = flow.takeWaiting();
+    List<byte[]> segments = flow.takeWaitingSegments();
     waitingFlows--;
     if (!flow.isClosed()) {
       begin(flow, nowMs);
@@ -162,12 +164,12 @@
 
   /** Forgets requests that were not answered for long, and releases those that waited for long. */
   void onTick(long nowMs) {
-    for (AgentFlow flow = gate.stale(forgetMs, nowMs);
+    for (AgentFlow flow = gate.pollStale(staleAfterMs, nowMs);
         flow != null;
-        flow = gate.stale(forgetMs, nowMs)) {
+        flow = gate.pollStale(staleAfterMs, nowMs)) {
       end(flow, nowMs);
     }
-    for (AgentFlow flow = gate.overdue(nowMs); flow != null; flow = gate.overdue(nowMs)) {
+    for (AgentFlow flow = gate.pollOverdue(nowMs); flow != null; flow = gate.pollOverdue(nowMs)) {
       release(flow, nowMs);
     }
   }
--- a/core/src/main/java/io/moorstage/core/agent/TargetIncarnation.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetIncarnation.java
@@ -13,7 +13,7 @@
  */
 final class TargetIncarnation {
   private long id;
-  private boolean besideAgent;
+  private boolean startedAfterAgent;
 
   /**
    * Takes which incarnation of the target the source lists, as a balancer reports it.
@@ -23,23 +23,23 @@
    * @return whether it is another incarnation than the one reported before
    */
   boolean update(long newId, boolean tookOver) {
-    boolean isOther = id != newId;
-    if (isOther) {
+    boolean changed = id != newId;
+    if (changed) {
       // That another one was listed before tells nothing: that may have been an old state.
       id = newId;
-      besideAgent = false;
+      startedAfterAgent = false;
     }
-    besideAgent |= tookOver;
-    return isOther;
+    startedAfterAgent |= tookOver;
+    return changed;
   }
 
   /** The target has sent a segment of a flow that the agent does not know. */
-  void heldUnknownFlow() {
-    besideAgent = false;
+  void onUnknownFlow() {
+    startedAfterAgent = false;
   }
 
   /** Returns whether the target has most likely started no sooner than the agent. */
-  boolean startedBesideAgent() {
-    return besideAgent;
+  boolean startedAfterAgent() {
+    return startedAfterAgent;
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/TargetLiveness.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetLiveness.java
@@ -15,48 +15,48 @@
  */
 final class TargetLiveness {
   /** A target answers an opening within 1 ms; below this, checks would follow each slow request. */
-  private static final int MIN_SILENCE_MS = 30;
+  private static final int MIN_CHECK_DELAY_MS = 30;
 
   /** Requests take up to six times their mean; more than four times it is worth a check. */
-  private static final int SILENCE_IN_ANSWER_TIMES = 4;
+  private static final int CHECK_DELAY_FACTOR = 4;
 
   /** Between two checks that find the target: a check costs it the acceptance of a connection. */
-  private static final int INTERVAL_MS = 500;
+  private static final int CHECK_INTERVAL_MS = 500;
 
   /** From a first refusal to the second. Not measured; two ticks of the agent. */
-  private static final int CONFIRM_MS = 40;
+  private static final int CONFIRM_INTERVAL_MS = 40;
 
   /** While it has ended: how soon a target that has started again is noticed. Not measured. */
-  private static final int ENDED_INTERVAL_MS = 200;
+  private static final int ENDED_CHECK_INTERVAL_MS = 200;
 
   /** One refusal may come from a process that is about to start and has no port yet. */
-  private static final int REFUSALS_OF_AN_END = 2;
+  private static final int REFUSALS_TO_CONFIRM_END = 2;
 
   /** Weight of one request in the mean time to an answer: it follows some 20 requests. */
-  private static final double AVERAGING = 0.05;
+  private static final double EWMA_WEIGHT = 0.05;
 
-  private static final long NONE = Long.MAX_VALUE;
+  private static final long NOT_WAITING = Long.MAX_VALUE;
 
-  private long silentSinceMs = NONE;
+  private long waitingSinceMs = NOT_WAITING;
   private long nextCheckMs = Long.MIN_VALUE;
   private int refusals;
   private double meanAnswerMs;
 
   /** The target has been handed something that it answers. */
-  void delivered(long nowMs) {
-    silentSinceMs = Math.min(silentSinceMs, nowMs);
+  void onDelivered(long nowMs) {
+    waitingSinceMs = Math.min(waitingSinceMs, nowMs);
   }
 
   /** The target has sent a segment. */
-  void heard() {
-    silentSinceMs = NONE;
+  void markAlive() {
+    waitingSinceMs = NOT_WAITING;
     refusals = 0;
   }
 
   /** A request was answered after some time. */
-  void answered(long afterMs) {
+  void recordAnswer(long latencyMs) {
     meanAnswerMs =
-        meanAnswerMs == 0 ? afterMs : meanAnswerMs + AVERAGING * (afterMs - meanAnswerMs);
+        meanAnswerMs == 0 ? latencyMs : meanAnswerMs + EWMA_WEIGHT * (latencyMs - meanAnswerMs);
   }
 
   /** Returns how long requests take in the mean. */
@@ -66,17 +66,17 @@
 
   /** Returns whether the target's process has ended, and has not been seen again since. */
   boolean hasEnded() {
-    return refusals >= REFUSALS_OF_AN_END;
+    return refusals >= REFUSALS_TO_CONFIRM_END;
   }
 
   /** Returns whether to check the target now; if so, the next check is due some time later. */
-  boolean takeCheck(long nowMs) {
-    double patienceMs = Math.max(MIN_SILENCE_MS, SILENCE_IN_ANSWER_TIMES * meanAnswerMs);
-    boolean silent = silentSinceMs != NONE && nowMs - silentSinceMs >= patienceMs;
-    if (!silent || nowMs < nextCheckMs) {
+  boolean pollDueCheck(long nowMs) {
+    double checkDelayMs = Math.max(MIN_CHECK_DELAY_MS, CHECK_DELAY_FACTOR * meanAnswerMs);
+    boolean overdue = waitingSinceMs != NOT_WAITING && nowMs - waitingSinceMs >= checkDelayMs;
+    if (!overdue || nowMs < nextCheckMs) {
       return false;
     }
-    nextCheckMs = nowMs + INTERVAL_MS;
+    nextCheckMs = nowMs + CHECK_INTERVAL_MS;
     return true;
   }
 
@@ -85,14 +85,14 @@
    *
    * @return whether the target has turned out to have ended
    */
-  boolean checked(boolean refused, long nowMs) {
-    boolean before = hasEnded();
+  boolean onCheckResult(boolean refused, long nowMs) {
+    boolean endedBefore = hasEnded();
     if (!refused) {
       refusals = 0;
       return false;
     }
     refusals++;
-    nextCheckMs = nowMs + (hasEnded() ? ENDED_INTERVAL_MS : CONFIRM_MS);
-    return hasEnded() && !before;
+    nextCheckMs = nowMs + (hasEnded() ? ENDED_CHECK_INTERVAL_MS : CONFIRM_INTERVAL_MS);
+    return hasEnded() && !endedBefore;
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/TargetSegments.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetSegments.java
@@ -31,55 +31,55 @@
    * @param datagram the segment; a returned one no longer bears the mark of the return
    */
   void onTargetSegment(Segment segment, ByteBuffer datagram, long nowMs) {
-    target.heard();
+    target.markAlive();
     AgentFlow flow = flows.get(segment.flow());
     if (segment.returned()) {
-      returned(flow, segment, datagram, nowMs);
+      onReturned(flow, segment, datagram, nowMs);
       return;
     }
     if (flow == null) {
       // The agent was restarted; the target tells by its segments which flows it holds.
-      target.heldUnknownFlow();
+      target.onUnknownFlow();
       flow = AgentFlow.held(segment.flow(), nowMs);
       flows.add(flow);
     }
     if (flow.stage() == AgentFlow.Stage.WITHDRAWN) {
       return;
     }
-    flow.answeredBy(segment, nowMs);
+    flow.onTargetSegment(segment, nowMs);
     actions.sendToClient(segment.flow(), datagram);
     if (segment.dataBytes() > 0) {
       if (flow.isBusy()) {
-        target.answered(flow, nowMs);
+        target.onAnswer(flow, nowMs);
       }
       flows.requests().end(flow, nowMs);
     }
-    noteTargetEnd(flow, segment, nowMs);
-    flow.noteTargetData(segment);
+    recordTargetEnd(flow, segment, nowMs);
+    flow.recordTargetData(segment);
   }
 
   // A target closes after its answer, or without one if its client has given the request up.
-  private void noteTargetEnd(AgentFlow flow, Segment segment, long nowMs) {
+  private void recordTargetEnd(AgentFlow flow, Segment segment, long nowMs) {
     boolean ends = segment.kind() == Segment.Kind.CLOSE || segment.kind() == Segment.Kind.RESET;
     if (!ends) {
       return;
     }
-    if (flow.isBusy() && !flow.isClosed() && !flow.comesBehindData(segment)) {
-      target.brokeOff(flow, nowMs);
+    if (flow.isBusy() && !flow.isClosed() && !flow.followsUnseenData(segment)) {
+      target.onRequestBrokenOff(flow, nowMs);
     }
-    flow.close();
+    flow.markClosed();
     flows.requests().end(flow, nowMs);
   }
 
   // The target returns a segment that it can't take, or of a flow that it does not hold.
-  private void returned(
+  private void onReturned(
       @Nullable AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
     if (flow == null) {
       log.decided(Decision.RETURNED, segment.flow(), 0, "flow-unknown", -1);
       return;
     }
     if (segment.kind() == Segment.Kind.OPEN) {
-      flows.forget(flow, nowMs);
+      flows.remove(flow, nowMs);
       flows.giveBack(flow.balancerAddress(), GiveBackReason.FULL, segment, datagram);
       return;
     }
@@ -88,7 +88,7 @@
       return;
     }
     if (flow.stage() == AgentFlow.Stage.OFFERED) {
-      flows.forget(flow, nowMs);
+      flows.remove(flow, nowMs);
     } else {
       // The client went on at another target that had accepted a copy of the opening segment.
       flow.withdraw();
--- a/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
+++ b/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
@@ -37,7 +37,7 @@
   }
 
   boolean told(TargetPhase phase, boolean evacuated, long revision) {
-    return agent.onTarget(
+    return agent.onTargetReport(
         new TargetReport(revision, phase, evacuated, CAPACITY, 5, false, 0, COLD_START_MS), nowMs);
   }
 
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
@@ -34,12 +34,12 @@
   // A balancer that has just started has read a source that came back from an older copy.
   @Test
   void targetThatLeavesGetsNoNewFlowThoughABalancerReportsItAsReadyAgain() {
-    agent.onTarget(report(TargetPhase.DRAINING, Revision.of(1, 18), 5), nowMs);
-    agent.onTarget(report(TargetPhase.READY, Revision.of(2, 3), 5), nowMs);
+    agent.onTargetReport(report(TargetPhase.DRAINING, Revision.of(1, 18), 5), nowMs);
+    agent.onTargetReport(report(TargetPhase.READY, Revision.of(2, 3), 5), nowMs);
     forwarded(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.LEAVING);
 
-    agent.onTarget(report(TargetPhase.READY, Revision.of(2, 4), 6), nowMs);
+    agent.onTargetReport(report(TargetPhase.READY, Revision.of(2, 4), 6), nowMs);
     forwarded(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.givenBack).hasSize(1);
   }
@@ -62,8 +62,8 @@
     assertThat(actions.reset).containsExactly(Fleet.flow(1), Fleet.flow(2));
     forwarded(Fleet.open(Fleet.flow(3), 0));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.ENDED);
-    assertThat(agent.onAsked(Fleet.flow(9), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
+    assertThat(agent.onQuery(Fleet.flow(9), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
   }
 
   // It may be held by another target that has got the opening or an offer too.
@@ -113,7 +113,8 @@
     told(TargetPhase.READY, false, 1);
     forwarded(Fleet.open(Fleet.flow(1), 0));
     findTargetEnded();
-    agent.onTarget(new TargetReport(4, TargetPhase.READY, false, CAPACITY, 7, false, 0, 0), nowMs);
+    agent.onTargetReport(
+        new TargetReport(4, TargetPhase.READY, false, CAPACITY, 7, false, 0, 0), nowMs);
     forwarded(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.delivered).contains(Fleet.open(Fleet.flow(2), 0).toString());
   }
@@ -284,7 +285,7 @@
     nowMs += 10_000;
     assertThat(admitted(50)).isEqualTo(50);
     nowMs += 10_000;
-    agent.onTarget(
+    agent.onTargetReport(
         new TargetReport(4, TargetPhase.READY, false, CAPACITY, 7, false, 0, COLD_START_MS), nowMs);
     assertThat(admitted(50)).isEqualTo(10);
   }
@@ -294,7 +295,7 @@
     coldOpeningsPerS = 10;
     told(TargetPhase.READY, false, 1);
     nowMs += 10_000;
-    agent.onTarget(
+    agent.onTargetReport(
         new TargetReport(4, TargetPhase.READY, false, CAPACITY, 5, false, 1_500, COLD_START_MS),
         nowMs);
     assertThat(admitted(50)).isEqualTo(10);
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
@@ -95,7 +95,7 @@
     forwarded(next);
     fromTarget(Fleet.returned(next));
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
   }
 
   @Test
@@ -106,14 +106,14 @@
     fromTarget(Fleet.returned(data));
     assertThat(actions.reset).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
   }
 
   @Test
   void restartedAgentLearnsItsFlowsFromTheTarget() {
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
     answer(1);
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.HELD);
   }
 
   @Test
@@ -131,7 +131,7 @@
     forwarded(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
   }
 
   private void fillTarget() {
@@ -296,16 +296,18 @@
 
   @Test
   void unknownFlowIsUnlikelyAtATargetThatTookOverWhileTheAgentRuns() {
-    agent.onTarget(new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNLIKELY);
+    agent.onTargetReport(
+        new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNLIKELY);
     openFlow(2);
-    assertThat(agent.onAsked(Fleet.flow(2), nowMs)).isEqualTo(FlowKnowledge.HELD);
+    assertThat(agent.onQuery(Fleet.flow(2), nowMs)).isEqualTo(FlowKnowledge.HELD);
   }
 
   @Test
   void targetThatTurnsOutToHoldAnUnknownFlowIsNoLongerTakenForNew() {
-    agent.onTarget(new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
+    agent.onTargetReport(
+        new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
     fromTarget(Fleet.data(Fleet.flow(3), 2, 100));
-    assertThat(agent.onAsked(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
   }
 }
--- a/core/src/test/java/io/moorstage/core/agent/TargetIncarnationTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/TargetIncarnationTest.java
@@ -10,15 +10,15 @@
   @Test
   void targetThatTookOverFromOneThatDiedHasStartedBesideTheAgent() {
     incarnation.update(5, true);
-    assertThat(incarnation.startedBesideAgent()).isTrue();
+    assertThat(incarnation.startedAfterAgent()).isTrue();
     incarnation.update(5, false);
-    assertThat(incarnation.startedBesideAgent()).isTrue();
+    assertThat(incarnation.startedAfterAgent()).isTrue();
   }
 
   @Test
   void targetThatTheAgentMeetsMayHaveRunForLong() {
     incarnation.update(5, false);
-    assertThat(incarnation.startedBesideAgent()).isFalse();
+    assertThat(incarnation.startedAfterAgent()).isFalse();
   }
 
   // A balancer that is behind may name the one before it first.
@@ -27,13 +27,13 @@
     incarnation.update(5, false);
     incarnation.update(0, false);
     incarnation.update(6, false);
-    assertThat(incarnation.startedBesideAgent()).isFalse();
+    assertThat(incarnation.startedAfterAgent()).isFalse();
   }
 
   @Test
   void targetThatSendsSegmentsOfAnUnknownFlowHasNot() {
     incarnation.update(5, true);
-    incarnation.heldUnknownFlow();
-    assertThat(incarnation.startedBesideAgent()).isFalse();
+    incarnation.onUnknownFlow();
+    assertThat(incarnation.startedAfterAgent()).isFalse();
   }
 }
--- a/core/src/test/java/io/moorstage/core/agent/TargetStartsAgainTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/TargetStartsAgainTest.java
@@ -14,7 +14,7 @@
   private static final long NEXT_START = 6;
 
   private void report(long revision, TargetPhase phase, long startNumber) {
-    agent.onTarget(
+    agent.onTargetReport(
         new TargetReport(revision, phase, false, CAPACITY, startNumber, false, 0, 0), nowMs);
   }
 
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessages.java
@@ -81,7 +81,7 @@
   private void onAsk(int balancer, PeerMessage.Ask ask, long nowMs) {
     List<PeerMessage.FlowAnswer> known = new ArrayList<>(ask.flows().size());
     for (FlowId flow : ask.flows()) {
-      FlowKnowledge knowledge = agent.onAsked(flow, nowMs);
+      FlowKnowledge knowledge = agent.onQuery(flow, nowMs);
       known.add(new PeerMessage.FlowAnswer(flow, knowledge, parts.ownAddress));
     }
     answers.send(new PeerMessage.Answer(known), balancer);
@@ -102,7 +102,7 @@
     boolean appeared = parts.balancers.heard(balancer, beacon.zone(), beacon.revision(), nowMs);
     parts.balancers.addAdvertised(beacon.balancers(), nowMs);
     TargetReport target = beacon.target();
-    if (target != null && agent.onTarget(target, nowMs)) {
+    if (target != null && agent.onTargetReport(target, nowMs)) {
       logTarget(target, balancer);
     }
     parts.beacons.onReportInterval(balancer, beacon.reportIntervalMs());
