--- a/core/src/main/java/io/moorstage/core/agent/AgentActions.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentActions.java
@@ -4,10 +4,10 @@
 import io.moorstage.core.message.GiveBackReason;
 import java.nio.ByteBuffer;
 
-/** What an agent's decisions lead to. Calls come under a lock and must not block. */
+/** Carries out an agent's decisions. Calls are made under the agent's lock and must not block. */
 public interface AgentActions {
 
-  /** Hands a client's segment to the target. */
+  /** Delivers a client's segment to the target. */
   void deliver(ByteBuffer datagram);
 
   /** Sends a target's segment to its client. */
@@ -17,9 +17,12 @@
   void giveBack(
       int balancerAddress, GiveBackReason reason, long configurationVersion, ByteBuffer datagram);
 
-  /** Checks whether the target's process takes connections; {@link FlowAgent#onTargetCheck}. */
+  /**
+   * Starts a check whether the target's process accepts connections; its result goes to {@link
+   * FlowAgent#onTargetCheck}.
+   */
   void checkTarget();
 
-  /** Sends a reset to a flow's client. */
+  /** Sends a reset with a sequence number to a flow's client. */
   void reset(FlowId flow, int sequence);
 }
--- a/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
@@ -7,22 +7,24 @@
 import javax.annotation.Nullable;
 
 /**
- * What an agent remembers of one flow: how far it is, and the request on it. Guarded by the lock of
- * {@link FlowAgent}.
+ * An agent's state of one flow: its stage, its data positions and the request on it. Guarded by the
+ * lock of {@link FlowAgent}.
  */
 final class AgentFlow {
 
-  /** How far the flow is. */
+  /** The stage of a flow's life, from the agent's point of view. */
   enum Stage {
-    /** The opening segment went to the target, which has not answered. */
+    /** The opening segment was delivered to the target, which has not responded. */
     OPENING,
-    /** The target has accepted; the client may go on here or at another target. */
+    /** The target has accepted the opening; the client may continue here or at another target. */
     ACCEPTED,
-    /** The target has gone on after the opening: it holds the flow. */
+    /** The target has sent a segment after its acceptance, so it holds the flow. */
     OPEN,
-    /** A segment of a flow of unknown place went to the target, which has not answered. */
+    /**
+     * A segment of a flow whose target is unknown was offered here; the target has not responded.
+     */
     OFFERED,
-    /** The opening segment was given back; what the target answers late is not passed on. */
+    /** The flow was given back; late responses of the target are dropped. */
     WITHDRAWN,
     /** The target held the flow and has lost it. */
     LOST
@@ -31,41 +33,43 @@
   private final FlowId id;
   private final long openedAtMs;
 
-  /** Which copy of the opening segment opened the flow; above 0 the first ones were lost. */
+  /**
+   * Number of the copy of the opening segment that opened the flow; above 0 the earlier were lost.
+   */
   private final int openCopy;
 
   private Stage stage;
   private int balancerAddress;
   private long lastUsedMs;
 
-  /** The opening segment, as long as the target has not answered it. */
+  /** The opening segment until the target has responded to it; null afterwards. */
   @Nullable private byte[] openSegment;
 
-  /** Whether a request is in progress, as far as the direction of data tells. */
+  /** Whether a request is in progress, judged by the direction in which data flows. */
   private boolean busy;
 
   private long busySinceMs;
 
-  /** Segments of a request that waits for the target, or null if none waits. */
+  /** Segments of a request that is queued for the target, or null if none is. */
   @Nullable private List<byte[]> waitingSegments;
 
   private long waitingSinceMs;
 
-  /** The sequence number behind the client's data, as far as it has been seen. */
+  /** The sequence number after the last byte of the client's data seen so far. */
   private int clientSequence;
 
   private boolean clientSequenceKnown;
 
-  /** The sequence number up to which the client has the target's data: a reset has to be near. */
+  /** The client's last acknowledgement number; a reset has to carry a sequence number near it. */
   private int acknowledged;
 
-  /** The sequence number behind the target's data, as far as it has been seen. */
+  /** The sequence number after the last byte of the target's data seen so far. */
   private int targetSequence;
 
   private boolean targetSequenceKnown;
 
-  /** Whether the target has sent data since the agent knows the flow. */
-  private boolean answered;
+  /** Whether the target has sent data since the agent created this entry. */
+  private boolean targetDataSeen;
 
   /** Whether either end has closed or broken off the flow. */
   private boolean closed;
@@ -79,7 +83,7 @@
     this.lastUsedMs = nowMs;
   }
 
-  /** Returns a flow whose opening segment goes to the target now. */
+  /** Returns a flow whose opening segment is being delivered to the target. */
   static AgentFlow opening(Segment segment, byte[] datagram, int balancerAddress, long nowMs) {
     AgentFlow flow =
         new AgentFlow(segment.flow(), Stage.OPENING, segment.copy(), balancerAddress, nowMs);
@@ -87,12 +91,12 @@
     return flow;
   }
 
-  /** Returns a flow of unknown place, of which a segment goes to the target now. */
+  /** Returns a flow whose target is unknown, and of which a segment is offered to this target. */
   static AgentFlow offered(FlowId id, int balancerAddress, long nowMs) {
     return new AgentFlow(id, Stage.OFFERED, 0, balancerAddress, nowMs);
   }
 
-  /** Returns a flow that the target holds, as its segment shows; no balancer is known yet. */
+  /** Returns a flow that the target holds, as a segment of it shows; no balancer is known yet. */
   static AgentFlow held(FlowId id, long nowMs) {
     return new AgentFlow(id, Stage.OPEN, 0, 0, nowMs);
   }
@@ -105,7 +109,9 @@
     return stage;
   }
 
-  /** Returns the balancer that has forwarded a segment of the flow last, 0 if none has. */
+  /**
+   * Returns the address of the balancer that last forwarded a segment of the flow; 0 if none did.
+   */
   int balancerAddress() {
     return balancerAddress;
   }
@@ -126,8 +132,8 @@
     return openCopy == 0;
   }
 
-  boolean isAnswered() {
-    return answered;
+  boolean hasTargetData() {
+    return targetDataSeen;
   }
 
   boolean isClosed() {
@@ -136,34 +142,34 @@
 
   // ---- stages ----
 
-  /** Returns whether the target has accepted the flow, and still holds it as far as is known. */
+  /** Returns whether the target has accepted the flow and is not known to have lost it. */
   boolean isAcceptedOrOpen() {
     return stage == Stage.ACCEPTED || stage == Stage.OPEN;
   }
 
-  /** Returns whether the target held the flow at some time. */
+  /** Returns whether the target holds the flow or held it before losing it. */
   boolean wasHeld() {
     return stage == Stage.OPEN || stage == Stage.LOST;
   }
 
-  /** Returns the opening segment if the target has not answered it, or null. */
+  /** Returns the opening segment if the target has not responded it, or null. */
   @Nullable
   byte[] unansweredOpening() {
     return stage == Stage.OPENING ? openSegment : null;
   }
 
-  /** A balancer has forwarded a segment of the flow. */
+  /** Records that a balancer has forwarded a segment of the flow. */
   void onForwarded(int newBalancerAddress, long nowMs) {
     balancerAddress = newBalancerAddress;
     lastUsedMs = nowMs;
   }
 
-  /** The client has acknowledged the target's data up to a sequence number. */
+  /** Records the client's acknowledgement number. */
   void setAcknowledged(int sequence) {
     acknowledged = sequence;
   }
 
-  /** The target has sent a segment of the flow. */
+  /** Updates the stage after the target has sent a segment of the flow. */
   void onTargetSegment(Segment segment, long nowMs) {
     openSegment = null;
     lastUsedMs = nowMs;
@@ -172,26 +178,26 @@
     } else if (stage == Stage.OPENING) {
       stage = Stage.ACCEPTED;
     }
-    answered |= segment.dataBytes() > 0;
+    targetDataSeen |= segment.dataBytes() > 0;
   }
 
-  /** What the target answers from now on is not passed on: the flow is, or may be, elsewhere. */
+  /** Drops later responses of the target, since another target holds, or may get, the flow. */
   void withdraw() {
     stage = Stage.WITHDRAWN;
     openSegment = null;
   }
 
-  /** The target has lost the flow. */
+  /** Records that the target has lost the flow. */
   void markLost() {
     stage = Stage.LOST;
   }
 
-  /** Either end has closed or broken off the flow. */
+  /** Records that either end has closed or broken off the flow. */
   void markClosed() {
     closed = true;
   }
 
-  /** The agent forgets the flow: its opening is not waited for any more. */
+  /** Discards the opening segment, so that an expired response timeout has no effect any more. */
   void clearOpening() {
     openSegment = null;
   }
@@ -227,32 +233,30 @@
     return waitingSegments == null ? 0 : waitingSegments.size();
   }
 
-  /** A request of the flow waits for the target from now on. */
+  /** Starts queueing the segments of a request, with the first one. */
   void beginWaiting(byte[] datagram, long nowMs) {
     waitingSegments = new ArrayList<>(1);
     waitingSegments.add(datagram);
     waitingSinceMs = nowMs;
   }
 
-  /** Keeps a further segment of the request that waits. */
+  /** Queues another segment of the waiting request. */
   void addWaitingSegment(byte[] datagram) {
     if (waitingSegments != null) {
       waitingSegments.add(datagram);
     }
   }
 
-  /** Returns the segments of the request that waited; it waits no longer. */
+  /** Removes and returns the segments of the waiting request, which ends its wait. */
   List<byte[]> takeWaitingSegments() {
     List<byte[]> segments = waitingSegments == null ? List.of() : waitingSegments;
     waitingSegments = null;
     return segments;
   }
 
-  // ---- how far data has come ----
+  // ---- data positions ----
 
-  /**
-   * Notes how far the client's data has come; returns whether the segment brings any that is new.
-   */
+  /** Records the position of the client's data; returns whether the segment has new data. */
   boolean recordClientData(Segment segment) {
     int end = segment.sequence() + segment.dataBytes();
     boolean isNew = !clientSequenceKnown || end - clientSequence > 0;
@@ -263,7 +267,7 @@
     return isNew;
   }
 
-  /** Notes how far the target's data has come. */
+  /** Records the position of the target's data. */
   void recordTargetData(Segment segment) {
     int opening = segment.kind() == Segment.Kind.OPEN_ACCEPTED ? 1 : 0;
     int end = segment.sequence() + segment.dataBytes() + opening;
@@ -274,8 +278,11 @@
   }
 
   /**
-   * Returns whether the target has, or may have, sent data before a segment that ends the flow: the
-   * short closing segment overtakes the answer now and then, and its sequence number tells.
+   * Returns whether the target sent, or may have sent, data that precedes a closing segment and has
+   * not arrived yet. The short closing segment sometimes overtakes the response; its sequence
+   * number shows that.
+   *
+   * @param end a closing or reset segment of the target; never true for a reset
    */
   boolean followsUnseenData(Segment end) {
     boolean isBehind = end.sequence() - targetSequence > 0;
--- a/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
@@ -15,8 +15,8 @@
 import javax.annotation.Nullable;
 
 /**
- * The flows that an agent remembers, with their openings and requests, and the ways in which a flow
- * ends here: given back to its balancer, reset, or forgotten. Guarded by the lock of {@link
+ * An agent's table of flows with their pending openings and requests, and the ways in which a flow
+ * leaves it: given back to its balancer, reset, or expired. Guarded by the lock of {@link
  * FlowAgent}.
  */
 final class AgentFlows {
@@ -58,7 +58,7 @@
     return flows.size();
   }
 
-  /** Returns all flows at this moment. */
+  /** Returns a snapshot of all flows. */
   List<AgentFlow> all() {
     return List.copyOf(flows.values());
   }
@@ -67,37 +67,40 @@
     flows.put(flow.id(), flow);
   }
 
-  /** Adds a flow whose opening segment goes to the target now. */
+  /** Adds a flow whose opening segment is being delivered to the target. */
   void addOpening(AgentFlow flow) {
     add(flow);
     openings.add(flow);
   }
 
-  /** Returns whether the agent has run for so long that its target holds no flow unknown to it. */
+  /**
+   * Returns whether the table is authoritative: the agent has run for longer than the lifetime of a
+   * flow, so its target holds no flow that the agent has no entry for.
+   */
   boolean isAuthoritative(long nowMs) {
     return nowMs - startedAtMs > memory.flowMs();
   }
 
-  /** Hands the target something that it answers. */
+  /** Delivers a segment that the target has to respond to. */
   void deliver(ByteBuffer datagram, long nowMs) {
     target.onDelivered(nowMs);
     actions.deliver(datagram);
   }
 
-  /** Drops what is known of a flow; its request counts no longer. */
+  /** Removes a flow's entry and drops its request. */
   void remove(AgentFlow flow, long nowMs) {
     requests.drop(flow, nowMs);
     flow.clearOpening();
     flows.remove(flow.id());
   }
 
-  /** Gives a segment back to the balancer that has forwarded it. */
+  /** Gives a segment back to the balancer that forwarded it. */
   void giveBack(int balancerAddress, GiveBackReason reason, Segment segment, ByteBuffer datagram) {
     log.decided(Decision.GAVE_BACK, segment.flow(), balancerAddress, reason.name(), -1);
     actions.giveBack(balancerAddress, reason, target.admission().configurationVersion(), datagram);
   }
 
-  /** The target held the flow and no longer does: nothing can serve it any more. */
+  /** Resets a flow that the target held and has lost, since no other target can serve it. */
   void resetLost(AgentFlow flow, int acknowledged, String reason, long nowMs) {
     flow.markLost();
     requests.drop(flow, nowMs);
@@ -105,7 +108,7 @@
     actions.reset(flow.id(), acknowledged);
   }
 
-  /** Gives back the openings that the target has not answered in time. */
+  /** Gives back the openings that the target has not responded within the response timeout. */
   void giveBackOverdueOpenings(long nowMs) {
     for (AgentFlow flow = openings.pollOverdue(nowMs);
         flow != null;
@@ -114,7 +117,7 @@
     }
   }
 
-  /** Gives back an opening that the target has not answered; what it answers late is dropped. */
+  /** Gives back an opening that the target has not targetDataSeen; a late response is dropped. */
   void giveBackOpening(AgentFlow flow, byte[] opening, GiveBackReason reason, long nowMs) {
     flow.withdraw();
     int balancerAddress = flow.balancerAddress();
@@ -124,7 +127,7 @@
     actions.giveBack(balancerAddress, reason, version, ByteBuffer.wrap(opening));
   }
 
-  /** Forgets flows that have ended or rested for long. */
+  /** Removes closed and idle flows whose retention period has expired. */
   void sweep(long nowMs) {
     for (Iterator<AgentFlow> iterator = flows.values().iterator(); iterator.hasNext(); ) {
       AgentFlow flow = iterator.next();
--- a/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
@@ -7,8 +7,8 @@
 import io.moorstage.core.settings.Mechanism;
 
 /**
- * What an agent knows of its target: what balancers report, and what it has seen itself. Guarded by
- * the lock of {@link FlowAgent}.
+ * An agent's state of its target, from the reports of balancers and from the segments and checks of
+ * the target itself. Guarded by the lock of {@link FlowAgent}.
  */
 final class AgentTarget {
   private final DecisionLog log;
@@ -24,7 +24,9 @@
     this.reportsOutliers = policy.uses(Mechanism.OUTLIER_DETECTION);
   }
 
-  /** Takes what a balancer reports; returns whether that is not older than what is known. */
+  /**
+   * Applies a balancer's report; returns false and ignores it if a newer one was applied before.
+   */
   boolean onReport(TargetReport report, long nowMs) {
     if (!admission.update(report, nowMs)) {
       return false;
@@ -36,72 +38,74 @@
     return true;
   }
 
-  /** Returns the rule for new flows. */
+  /** Returns the admission of new flows. */
   OpeningAdmission admission() {
     return admission;
   }
 
-  /** Returns whether balancers are to leave the target out of new flows. */
-  boolean isUnfit() {
+  /** Returns whether balancers are to send the target no new flows. */
+  boolean isEjected() {
     return reportsOutliers && outliers.isEjected();
   }
 
-  /** Returns whether the target's process has ended, and has not been seen again since. */
+  /** Returns whether the target's process has ended and has shown no activity since. */
   boolean hasEnded() {
     return liveness.hasEnded();
   }
 
-  /** Returns whether the target has most likely started no sooner than the agent. */
+  /** Returns whether the target most likely started after the agent. */
   boolean startedAfterAgent() {
     return incarnation.startedAfterAgent();
   }
 
-  /** The target has been handed something that it answers. */
+  /** Records that the target was sent a segment that it has to respond to. */
   void onDelivered(long nowMs) {
     liveness.onDelivered(nowMs);
   }
 
-  /** The target has sent a segment. */
+  /** Records that the target runs, since it has sent a segment. */
   void markAlive() {
     liveness.markAlive();
   }
 
-  /** The target has sent a segment of a flow that the agent does not know. */
+  /** Records that the target has sent a segment of a flow that the agent has no entry for. */
   void onUnknownFlow() {
     incarnation.onUnknownFlow();
   }
 
-  /** The target answers a flow's request that was in progress. */
-  void onAnswer(AgentFlow flow, long nowMs) {
-    liveness.recordAnswer(nowMs - flow.busySinceMs());
+  /** Records the target's response to a flow's request in progress. */
+  void onResponse(AgentFlow flow, long nowMs) {
+    liveness.recordResponse(nowMs - flow.busySinceMs());
     outliers.recordSuccess(nowMs);
   }
 
-  /** The target has broken off a flow's request that its client waits for. */
+  /** Records that the target has broken off a flow's request whose client still waits. */
   void onRequestBrokenOff(AgentFlow flow, long nowMs) {
     if (outliers.recordFailure(nowMs)) {
-      logUnfit(flow, "broken-off", nowMs);
+      logEjection(flow, "broken-off", nowMs);
     }
   }
 
-  /** Notices a target that has stalled, by its oldest request. */
+  /**
+   * Ejects the target if it has stalled, judged by the flow with the oldest request in progress.
+   */
   void detectStall(AgentFlow oldest, long nowMs) {
-    if (outliers.detectStall(oldest.busySinceMs(), liveness.meanAnswerMs(), nowMs)) {
-      logUnfit(oldest, "stalled", nowMs);
+    if (outliers.detectStall(oldest.busySinceMs(), liveness.meanResponseMs(), nowMs)) {
+      logEjection(oldest, "stalled", nowMs);
     }
   }
 
-  private void logUnfit(AgentFlow flow, String reason, long nowMs) {
+  private void logEjection(AgentFlow flow, String reason, long nowMs) {
     long ageMs = nowMs - flow.busySinceMs();
     log.decided(Decision.TARGET_UNFIT, flow.id(), flow.balancerAddress(), reason, ageMs);
   }
 
-  /** Returns whether to check now whether the target's process runs. */
+  /** Returns whether a check of the target's process is due, and if so schedules the next one. */
   boolean pollDueCheck(long nowMs) {
     return liveness.pollDueCheck(nowMs);
   }
 
-  /** Takes what a check has found; returns whether the target has turned out to have ended. */
+  /** Evaluates the result of a check; returns whether it shows that the target has ended. */
   boolean onCheckResult(boolean refused, long nowMs) {
     return liveness.onCheckResult(refused, nowMs);
   }
--- a/core/src/main/java/io/moorstage/core/agent/ColdStartLimit.java
+++ b/core/src/main/java/io/moorstage/core/agent/ColdStartLimit.java
@@ -5,19 +5,19 @@
 import java.util.Deque;
 
 /**
- * The rule that bounds the new flows that a target gets in any second while it is cold. Guarded by
- * the lock of {@link FlowAgent}.
+ * Limits the new flows that a target gets in any second while it is cold. Guarded by the lock of
+ * {@link FlowAgent}.
  *
- * <p>All openings of a target pass through its agent, so the bound holds whatever the balancers
- * know. The window slides: a bucket of tokens would let twice the rate through in a second that
- * begins with a full bucket. An agent that has started does not know for how long its target has
- * been warm, and takes it for cold until the time of a cold start has passed.
+ * <p>All openings of a target pass through its agent, so the limit holds even if balancers have
+ * stale state. The window is a sliding one: a token bucket would admit twice the rate in a second
+ * that begins with a full bucket. An agent that has just started has no record of how long its
+ * target has run, and treats it as cold until the duration of a cold start has passed.
  */
 final class ColdStartLimit {
-  /** The bound is given in new flows a second. */
+  /** Length of the sliding window; the limit is a number of new flows per second. */
   private static final int WINDOW_MS = 1_000;
 
-  /** Longer than any start: until a balancer reports, the target counts as cold. */
+  /** Longer than any cold start: the target counts as cold until the first report. */
   private static final int UNKNOWN_DURATION_MS = Integer.MAX_VALUE;
 
   private final Deque<Long> openedAtMs = new ArrayDeque<>();
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Takes what a balancer reports: the target is cold after a start, when its record says so, and
-   * when the evacuation of its zone ends.
+   * Applies a balancer's report. The target becomes cold when it has started, when its record has a
+   * longer slow start than before, and when the evacuation of its zone ends.
    */
   void update(TargetReport report, long nowMs) {
     boolean started = report.startNumber() != startNumber;
@@ -51,7 +51,7 @@
   /**
    * Returns whether the target may get a new flow now, and if so counts it.
    *
-   * @param openingsPerS how many it bears in a second while it is cold; 0 for no limit
+   * @param openingsPerS the new flows per second that a cold target can take; 0 for no limit
    */
   boolean tryAdmit(int openingsPerS, long nowMs) {
     if (openingsPerS <= 0) {
--- a/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
+++ b/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
@@ -12,8 +12,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * The decisions of an agent: what its target gets, and what goes back to the balancers.
- * Thread-safe: each call holds the agent's lock.
+ * Decides for each segment whether an agent delivers it to its target, queues it, or gives it back
+ * to the balancer that forwarded it. Thread-safe: each call holds the agent's lock.
  */
 public final class FlowAgent {
   private final AgentActions actions;
@@ -23,13 +23,13 @@
   private final TargetSegments targetSegments;
 
   /**
-   * Creates an agent that knows no flow.
+   * Creates an agent without any flows.
    *
-   * @param policy times and bounds
+   * @param policy the timeouts, limits and enabled mechanisms
    * @param service the service of the agent's target
-   * @param actions takes what is decided
-   * @param log takes each decision
-   * @param nowMs the time of the start
+   * @param actions carries out the decisions
+   * @param log records each decision
+   * @param nowMs the time at which the agent starts, in milliseconds of a monotonic clock
    */
   public FlowAgent(
       ForwardingPolicy policy, String service, AgentActions actions, DecisionLog log, long nowMs) {
@@ -41,7 +41,7 @@
   }
 
   /**
-   * Takes what a balancer reports of the target.
+   * Applies a balancer's report on the target; a report older than the last one is ignored.
    *
    * @return whether the target's phase, or the evacuation of its zone, has changed
    */
@@ -55,15 +55,15 @@
     return phaseBefore != report.phase() || evacuatedBefore != report.evacuated();
   }
 
-  /** Returns how far the target is in its life, as far as the agent knows. */
+  /** Returns the phase of the target according to the newest report. */
   public synchronized TargetPhase phase() {
     return target.admission().phase();
   }
 
   /**
-   * Takes the outcome of a check that {@link AgentActions#checkTarget} has asked for.
+   * Handles the result of a check that {@link AgentActions#checkTarget} has requested.
    *
-   * @param refused whether the machine has refused the connection: no process has the port
+   * @param refused whether the connection was refused, that is, no process listens on the port
    */
   public synchronized void onTargetCheck(boolean refused, long nowMs) {
     if (!target.onCheckResult(refused, nowMs)) {
@@ -79,37 +79,40 @@
     if (opening != null) {
       flows.giveBackOpening(flow, opening, GiveBackReason.ENDED, nowMs);
     } else if (flow.stage() != AgentFlow.Stage.OPEN) {
-      // It may be held elsewhere: what the client sends next goes back to the balancer.
+      // Another target may hold the flow, so the client's next segment is given back to the
+      // balancer.
       flows.remove(flow, nowMs);
     } else if (flow.isBusy() || flow.isWaiting()) {
       flows.resetLost(flow, flow.acknowledged(), "target-ended", nowMs);
     }
   }
 
-  /** Returns whether the target has broken off requests of late, or answers none. */
-  public synchronized boolean isTargetUnfit() {
-    return target.isUnfit();
+  /**
+   * Returns whether the target is ejected because it broke off requests or did not respond to them.
+   */
+  public synchronized boolean isTargetEjected() {
+    return target.isEjected();
   }
 
-  /** Returns whether the target's process has ended, as far as the agent knows. */
+  /** Returns whether checks have found that the target's process has ended. */
   public synchronized boolean hasTargetEnded() {
     return target.hasEnded();
   }
 
-  /** Returns how many flows have a request in progress. */
+  /** Returns the number of flows that have a request in progress or waiting. */
   public synchronized int busyFlows() {
     return flows.requests().busyFlows();
   }
 
-  /** Returns the number of flows that the agent remembers. */
+  /** Returns the number of flows that the agent has an entry for. */
   public synchronized int flowCount() {
     return flows.count();
   }
 
   /**
-   * Takes a client's segment that a balancer forwards.
+   * Handles a client's segment that a balancer forwards.
    *
-   * @param balancerAddress the balancer's machine
+   * @param balancerAddress the IPv4 address of the balancer's machine
    */
   public synchronized void onForwarded(
       int balancerAddress, ForwardTerms terms, Segment segment, ByteBuffer datagram, long nowMs) {
@@ -117,15 +120,15 @@
   }
 
   /**
-   * Takes a segment from the target: its own, or a client's that it returns.
+   * Handles a segment from the target: one of its own, or a client's segment that it returns.
    *
-   * @param datagram the segment; a returned one no longer bears the mark of the return
+   * @param datagram the bytes of the segment; the flag that marks a returned one is cleared
    */
   public synchronized void onTargetSegment(Segment segment, ByteBuffer datagram, long nowMs) {
     targetSegments.onTargetSegment(segment, datagram, nowMs);
   }
 
-  /** Answers a balancer that asks for a flow. */
+  /** Returns the answer to a balancer's query whether the target holds a flow. */
   public synchronized FlowKnowledge onQuery(FlowId id, long nowMs) {
     AgentFlow flow = flows.get(id);
     if (flow == null) {
@@ -147,7 +150,7 @@
     return target.startedAfterAgent() ? FlowKnowledge.UNLIKELY : FlowKnowledge.UNKNOWN;
   }
 
-  /** Handles what is due; called every few tens of milliseconds. */
+  /** Handles expired timeouts and starts due checks; called every few tens of milliseconds. */
   public synchronized void onTick(long nowMs) {
     flows.giveBackOverdueOpenings(nowMs);
     AgentFlow oldest = flows.requests().oldest();
@@ -160,7 +163,7 @@
     flows.requests().onTick(nowMs);
   }
 
-  /** Forgets flows that have ended or rested for long; called about once a second. */
+  /** Removes the entries of closed and idle flows that have expired; called about once a second. */
   public synchronized void onSweep(long nowMs) {
     flows.sweep(nowMs);
   }
--- a/core/src/main/java/io/moorstage/core/agent/ForwardedSegments.java
+++ b/core/src/main/java/io/moorstage/core/agent/ForwardedSegments.java
@@ -10,8 +10,8 @@
 import javax.annotation.Nullable;
 
 /**
- * What becomes of the segments of clients that balancers forward: delivered to the target, kept
- * until it has room, or given back. Guarded by the lock of {@link FlowAgent}.
+ * Handles clients' segments that balancers forward: delivers them to the target, queues them while
+ * it is at its limit, or gives them back. Guarded by the lock of {@link FlowAgent}.
  */
 final class ForwardedSegments {
   private final String service;
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Takes a client's segment that a balancer forwards.
+   * Handles a client's segment that a balancer forwards.
    *
-   * @param balancerAddress the balancer's machine
+   * @param balancerAddress the IPv4 address of the balancer's machine
    */
   void onForwarded(
       int balancerAddress, ForwardTerms terms, Segment segment, ByteBuffer datagram, long nowMs) {
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Returns the flow of a later segment, or null if the target does not hold it. A flow that the
-   * agent does not know is offered to the target only if it may be of its service, and the agent
-   * has not run for long enough to know all.
+   * Returns the flow of a segment other than the opening, or null if the target does not hold it.
+   * An unknown flow is offered to the target only if the balancer assigns it to the target's
+   * service, the agent's table of flows is not authoritative, and the target has not ended.
    */
   @Nullable
   private AgentFlow findOrOffer(
--- a/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
+++ b/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
@@ -9,20 +9,22 @@
 import javax.annotation.Nullable;
 
 /**
- * The agent's rule for new flows: may the target get this one, and if not, why? Guarded by the lock
- * of {@link FlowAgent}.
+ * Admits new flows to the target, or rejects them with a reason. Guarded by the lock of {@link
+ * FlowAgent}.
  *
- * <p>Inputs: what balancers report of the target (phase, evacuation, cold start), as of a revision
- * of the source and at most a beacon's period old; the terms that come with the segment (service,
- * configuration, whether its balancer insists); and what the agent has seen itself (a process that
- * has ended, an ejection as an outlier, the openings of the last second).
+ * <p>Inputs: the reports of balancers on the target (phase, evacuation, cold start), which refer to
+ * a revision of the source and are at most one beacon period old; the terms that come with the
+ * segment (service, configuration, whether the balancer overrides an ejection); and the agent's own
+ * observations (the end of the process, an ejection as an outlier, the openings of the last
+ * second).
  *
- * <p>The first of these reasons that holds refuses: the process has ended; the target is ejected as
- * an outlier; the flow is another service's; its balancer goes by an older configuration than one
- * that has had an effect here; the target is leaving; its zone is evacuated; it is cold and bears
- * no more. The agent is the last to decide, so what it knows holds for all balancers: those that
- * are behind get their openings back and place them again. So no packet reaches another service,
- * and no leaving target or evacuated zone gets new work, however slow the slowest balancer is.
+ * <p>The first of these conditions that holds rejects the flow: the process has ended; the target
+ * is ejected as an outlier; the flow belongs to another service; the balancer uses an older
+ * configuration than one already in effect here; the target is leaving; its zone is evacuated; it
+ * is cold and at its limit of new flows. Every opening passes through the agent, so its decision
+ * binds all balancers: a balancer with stale state gets its opening back and places it again. Hence
+ * no packet reaches another service, and no leaving target or evacuated zone gets new flows,
+ * however late a balancer receives the change.
  */
 final class OpeningAdmission {
   private final String service;
@@ -50,7 +52,9 @@
         policy.uses(Mechanism.OUTLIER_REFUSAL) && policy.uses(Mechanism.OUTLIER_DETECTION);
   }
 
-  /** Takes what a balancer reports of the target; false if something newer is known. */
+  /**
+   * Applies a balancer's report; returns false and ignores it if a newer one was applied before.
+   */
   boolean update(TargetReport report, long nowMs) {
     if (report.revision() < revision) {
       return false;
@@ -63,8 +67,8 @@
     return true;
   }
 
-  // A balancer that has just started may have read a source that has come back from an older copy,
-  // and report a leaving target as ready until the target has written again.
+  // A balancer that has just started may have read a source that was restored from an older copy.
+  // It then reports a draining target as ready until the target has updated its entry.
   private TargetPhase mergedPhase(TargetReport report) {
     boolean revertsDraining = phase == TargetPhase.DRAINING && report.phase() == TargetPhase.READY;
     return revertsDraining && report.startNumber() == startNumber ? phase : report.phase();
@@ -78,12 +82,16 @@
     return evacuated;
   }
 
-  /** Returns the newest configuration that has had an effect here. */
+  /** Returns the newest configuration version that the agent has applied to a new flow. */
   long configurationVersion() {
     return configurationVersion;
   }
 
-  /** Returns why an opening must not reach the target, or null if it may; counts it if so. */
+  /**
+   * Returns the reason to reject an opening, or null if it is admitted. An admitted opening counts
+   * towards the limit of a cold target. An opening that an ejected target gets as its probe counts
+   * as the probe even if a later condition rejects it.
+   */
   @Nullable
   GiveBackReason rejectionReason(ForwardTerms terms, long nowMs) {
     if (liveness.hasEnded()) {
@@ -108,7 +116,8 @@
     return coldLimit.tryAdmit(terms.coldOpeningsPerS(), nowMs) ? null : GiveBackReason.COLD;
   }
 
-  // Where most targets of a service are ejected, its balancer insists: the fault may lie elsewhere.
+  // If most targets of a service are ejected, the cause may be outside the targets; the balancer
+  // then overrides the ejection.
   private boolean isRejectedAsOutlier(ForwardTerms terms, long nowMs) {
     boolean mayReject = rejectsOutliers && !terms.insists() && outliers.isEjected();
     return mayReject && !outliers.tryAdmit(terms.repeatable(), nowMs);
--- a/core/src/main/java/io/moorstage/core/agent/OutlierDetector.java
+++ b/core/src/main/java/io/moorstage/core/agent/OutlierDetector.java
@@ -1,35 +1,37 @@
 package io.moorstage.core.agent;
 
 /**
- * The rule that ejects a target from new flows by the outcomes of its requests, whatever it says of
- * its health, and probes it again. Guarded by the lock of {@link FlowAgent}.
+ * Ejects a target from new flows by the outcomes of its requests, independently of the health that
+ * it reports, and probes it again later. Guarded by the lock of {@link FlowAgent}.
  *
  * <p>Outlier detection by consecutive failures, as in Envoy, with a circuit breaker's single probe
- * (Nygard, "Release It!", 2007): a target that has broken off several requests in a row, or answers
- * none for much longer than usual, gets no new flow for a while and then one, whose outcome
- * decides. Bytes are all that an agent sees, so a target that answers with errors is not noticed.
+ * (Nygard, "Release It!", 2007): a target that has broken off several requests in a row, or has
+ * responded to none for much longer than usual, is ejected. After the ejection it gets one new flow
+ * as a probe, whose outcome decides whether it is used again. The agent does not interpret the data
+ * of responses, so a target that responds with errors is not detected.
  *
- * <p>While five of 41 targets reset all requests for 5.5 s, 14 of some 6,000 requests failed with
- * it, and 291 without (a simulated day, played with and without it).
+ * <p>In a simulated day in which five of 41 targets reset all requests for 5.5 s, 14 of some 6,000
+ * requests failed with outlier detection, and 291 without it.
  */
 final class OutlierDetector {
-  /** A target that has crashed and started again may break off one or two requests. */
+  /** More than the one or two requests that a target breaks off when it crashes and restarts. */
   private static final int CONSECUTIVE_FAILURES = 3;
 
-  /** First ejection; doubled after each probe that fails. Not measured. */
+  /** Duration of the first ejection, in milliseconds; doubled after each failed probe. */
   private static final int BASE_EJECTION_MS = 1_000;
 
-  /** At most four seconds: a target has to be back soon after it has recovered. Not measured. */
+  /** Bounds an ejection to 4 s, so that a target is used again soon after it has recovered. */
   private static final int MAX_DOUBLINGS = 2;
 
   /**
-   * Without an answer for so long, with requests in progress, a target has stalled ... Not
-   * measured; chosen so that a collection of garbage at the target is none.
+   * Minimum time without a response, while requests are in progress, after which a target counts as
+   * stalled. A garbage collection at the target is shorter.
    */
   private static final int MIN_STALL_MS = 400;
 
   /**
-   * ... unless its requests take long: up to six times their mean, and 1.6 times that when cold.
+   * The same time as a multiple of the mean response time; the longer of both applies. Requests
+   * take up to six times their mean, and 1.6 times that when the target is cold.
    */
   private static final int STALL_FACTOR = 10;
 
@@ -43,19 +45,19 @@
   private int consecutiveFailures;
   private int ejections;
   private long ejectedUntilMs;
-  private long lastAnswerAtMs;
+  private long lastResponseAtMs;
   private long probedAtMs;
 
-  /** The target has started again: the failures were those of the start before. */
+  /** Clears the state after a restart of the target, which ends the failures recorded before. */
   void reset() {
     state = State.IN_USE;
     consecutiveFailures = 0;
     ejections = 0;
   }
 
-  /** The target has answered a request. */
+  /** Records that the target has responded to a request. */
   void recordSuccess(long nowMs) {
-    lastAnswerAtMs = nowMs;
+    lastResponseAtMs = nowMs;
     consecutiveFailures = 0;
     if (state == State.PROBING) {
       state = State.IN_USE;
@@ -64,9 +66,9 @@
   }
 
   /**
-   * The target has broken off a request that its client waits for.
+   * Records that the target has broken off a request whose client still waits for the response.
    *
-   * @return whether the target is ejected by that
+   * @return whether this ejects the target
    */
   boolean recordFailure(long nowMs) {
     consecutiveFailures++;
@@ -80,15 +82,15 @@
   }
 
   /**
-   * Notices a target that has stalled.
+   * Ejects the target if it has stalled.
    *
-   * @param oldestStartedAtMs since when the oldest request has been in progress
-   * @param meanAnswerMs how long requests take in the mean
-   * @return whether the target is ejected by that
+   * @param oldestStartedAtMs when the oldest request in progress started
+   * @param meanResponseMs the mean time from a request to its response, in milliseconds
+   * @return whether this ejects the target
    */
-  boolean detectStall(long oldestStartedAtMs, double meanAnswerMs, long nowMs) {
-    long unansweredMs = nowMs - Math.max(lastAnswerAtMs, oldestStartedAtMs);
-    boolean stalled = unansweredMs > Math.max(MIN_STALL_MS, STALL_FACTOR * meanAnswerMs);
+  boolean detectStall(long oldestStartedAtMs, double meanResponseMs, long nowMs) {
+    long unansweredMs = nowMs - Math.max(lastResponseAtMs, oldestStartedAtMs);
+    boolean stalled = unansweredMs > Math.max(MIN_STALL_MS, STALL_FACTOR * meanResponseMs);
     boolean ejects = stalled && state != State.EJECTED;
     if (ejects) {
       eject(nowMs);
@@ -103,15 +105,16 @@
     ejectedUntilMs = nowMs + ((long) BASE_EJECTION_MS << doublings);
   }
 
-  /** Returns whether the target gets no new flow, or one at most. */
+  /** Returns whether the target is ejected or being probed, and so gets at most one new flow. */
   boolean isEjected() {
     return state != State.IN_USE;
   }
 
   /**
-   * Returns whether the target may get a new flow.
+   * Returns whether the target may get a new flow; a flow for an ejected target is its probe.
    *
-   * @param repeatable whether its requests may be repeated: a probe that fails costs them less
+   * @param repeatable whether the flow's requests may be retried, in which case they can survive a
+   *     failed probe; only such a flow is used as a probe in the first second after an ejection
    */
   boolean tryAdmit(boolean repeatable, long nowMs) {
     if (state == State.IN_USE) {
--- a/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
@@ -5,11 +5,12 @@
 import javax.annotation.Nullable;
 
 /**
- * The openings that the target has been handed and may not have answered, in the order in which
- * they came. Guarded by the lock of {@link FlowAgent}.
+ * The openings that were delivered to the target and may have no response yet, in order of
+ * delivery. Guarded by the lock of {@link FlowAgent}.
  *
- * <p>A target answers an opening within a millisecond or refuses it. One that does neither is given
- * back to its balancer, which places the flow elsewhere before its client repeats the opening.
+ * <p>A target accepts or returns an opening within a millisecond. An opening without either is
+ * given back to its balancer, which places the flow elsewhere before the client repeats the
+ * opening.
  */
 final class PendingOpenings {
   private final int answerTimeoutMs;
@@ -18,18 +19,18 @@
   /**
    * Creates an empty queue.
    *
-   * @param answerTimeoutMs after how long without an answer a target counts as silent
+   * @param answerTimeoutMs the time in which a target has to respond to an opening, in milliseconds
    */
   PendingOpenings(int answerTimeoutMs) {
     this.answerTimeoutMs = answerTimeoutMs;
   }
 
-  /** An opening goes to the target now. */
+  /** Adds a flow whose opening is being delivered to the target. */
   void add(AgentFlow flow) {
     pending.add(flow);
   }
 
-  /** Takes the next flow whose opening was not answered in time; returns null if there is none. */
+  /** Removes and returns the next flow whose opening has timed out, or null if there is none. */
   @Nullable
   AgentFlow pollOverdue(long nowMs) {
     while (!pending.isEmpty() && nowMs - pending.peek().openedAtMs() >= answerTimeoutMs) {
--- a/core/src/main/java/io/moorstage/core/agent/RequestGate.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestGate.java
@@ -7,24 +7,25 @@
 import javax.annotation.Nullable;
 
 /**
- * Decides in which order requests reach a target that is at its limit.
+ * Limits the requests in progress at a target, and orders those that wait. Guarded by the lock of
+ * {@link FlowAgent}.
  *
- * <p>A target queues in order of arrival, so after an outage the requests that were repeated
- * meanwhile, and are late already, would make all later ones late as well. The gate keeps no more
- * requests in progress than the target works on, plus a few, and lets the others wait: requests
- * known to be new go before those that may be old, and once the queue stands, the newest goes first
- * (adaptive LIFO, as in Maurer, "Fail at Scale", ACM Queue 2015). A request that has waited for
- * long gets every other place that becomes free, so that new ones can't starve it nor it them; none
- * waits longer than a bound, after which the target itself decides.
+ * <p>A target serves its own queue in order of arrival. After an outage, the late requests that
+ * clients have repeated meanwhile would therefore delay all later ones too. The gate keeps only as
+ * many requests in progress as the target works on, plus {@link #SPARE_REQUESTS}, and queues the
+ * others. Requests known to be new go before those that may be retries. In a standing queue the
+ * newest request goes first (adaptive LIFO, as in Maurer, "Fail at Scale", ACM Queue 2015). A
+ * request that has waited for long gets every other place that becomes free, so that neither old
+ * nor new requests starve. After the maximum wait a request is released to the target's own queue.
  */
 final class RequestGate {
   /**
-   * Requests at the target beyond those that it works on, so that it never idles for the time that
-   * the agent takes to send the next one. Not measured.
+   * Requests in progress beyond the capacity of the target, so that it is not idle while the agent
+   * sends the next one.
    */
   private static final int SPARE_REQUESTS = 2;
 
-  /** A queue whose oldest request has waited for so long does not drain. Not measured. */
+  /** A queue whose oldest request has waited for longer is standing: it does not drain. */
   private static final int STANDING_QUEUE_MS = 40;
 
   private final boolean servesNewestFirst;
@@ -38,12 +39,12 @@
   private boolean lastWasLongWaiting;
 
   /**
-   * Creates an open gate.
+   * Creates a gate without requests.
    *
-   * @param policy after how long a request gets a turn before newer ones, and the longest that one
-   *     waits
-   * @param capacity the requests that the target works on at a time; 0 if not known, which lets all
-   *     pass
+   * @param policy gives the wait after which a request gets a turn before newer ones, and the
+   *     maximum wait
+   * @param capacity the requests that the target works on at a time; 0 if not known, which opens
+   *     the gate for all requests
    */
   RequestGate(ForwardingPolicy policy, int capacity) {
     this.servesNewestFirst = policy.uses(Mechanism.NEWEST_FIRST);
@@ -53,25 +54,28 @@
     this.capacity = capacity;
   }
 
-  /** Takes the number of requests that the target works on at a time. */
+  /** Sets the number of requests that the target works on at a time; 0 opens the gate for all. */
   void setCapacity(int newCapacity) {
     capacity = newCapacity;
   }
 
-  /** Returns how many requests are in progress at the target. */
+  /** Returns the number of requests in progress at the target. */
   int inProgress() {
     return inProgress;
   }
 
-  /** A flow's request has started at the target. */
+  /** Counts a flow's request as in progress at the target from now on. */
   void addInProgress(AgentFlow flow) {
     inProgress++;
     started.addLast(flow);
   }
 
   /**
-   * Returns a flow whose request has been in progress for too long to still count, or null if there
-   * is none: its answer was lost, or it was a repetition of a request that had its answer.
+   * Removes and returns a flow whose request has been in progress for too long to count any longer,
+   * or null if there is none. Its response was lost, or it was a retry of a request that already
+   * had its response.
+   *
+   * @param staleAfterMs the time after which a request no longer counts as in progress
    */
   @Nullable
   AgentFlow pollStale(int staleAfterMs, long nowMs) {
@@ -87,7 +91,7 @@
     return null;
   }
 
-  /** Returns the flow whose request has been in progress for longest, or null if there is none. */
+  /** Returns the flow whose request has been in progress longest, or null if there is none. */
   @Nullable
   AgentFlow oldest() {
     for (AgentFlow flow = started.peekFirst(); flow != null; flow = started.peekFirst()) {
@@ -99,22 +103,28 @@
     return null;
   }
 
-  /** A request has ended at the target, or no longer counts. */
+  /** Counts one request less as in progress: it has ended at the target, or has become stale. */
   void removeInProgress() {
     inProgress--;
   }
 
-  /** Returns whether the next request goes to the target at once. */
+  /** Returns whether the next request may go to the target without waiting. */
   boolean isOpen() {
     return capacity == 0 || inProgress < capacity + SPARE_REQUESTS;
   }
 
-  /** Lets a flow's request wait. */
+  /**
+   * Queues a flow's request.
+   *
+   * @param isNew whether the request is known not to be a retry
+   */
   void add(AgentFlow flow, boolean isNew) {
     (isNew ? newRequests : possibleRetries).addLast(flow);
   }
 
-  /** Returns the flow whose request goes next, or null if none waits or the gate is closed. */
+  /**
+   * Removes and returns the flow whose request goes next; null if none waits or the gate is closed.
+   */
   @Nullable
   AgentFlow pollNext(long nowMs) {
     if (!isOpen()) {
@@ -144,14 +154,16 @@
     return flow;
   }
 
-  // Flows that ended while they waited stay in the queue until they come up.
+  // A flow whose wait was cancelled stays in the queue until it reaches the head.
   private static void dropNoLongerWaiting(Deque<AgentFlow> queue) {
     while (!queue.isEmpty() && !queue.peekFirst().isWaiting()) {
       queue.pollFirst();
     }
   }
 
-  /** Returns a flow whose request has waited for as long as it may, or null if there is none. */
+  /**
+   * Removes and returns a flow whose request has waited the maximum time; null if there is none.
+   */
   @Nullable
   AgentFlow pollOverdue(long nowMs) {
     return pollOverdue(maxWaitMs, nowMs);
--- a/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
@@ -8,22 +8,24 @@
 import java.util.List;
 
 /**
- * The requests of an agent's flows: which are in progress at the target, and which wait for it as
- * {@link RequestGate} decides. Guarded by the lock of {@link FlowAgent}.
+ * Tracks the requests of an agent's flows: those in progress at the target, and those that wait in
+ * the order of {@link RequestGate}. Guarded by the lock of {@link FlowAgent}.
  */
 final class RequestQueue {
-  /** A client has at most so many segments under way. */
+  /** The maximum number of segments that a client has in flight. */
   private static final int MAX_WAITING_SEGMENTS = 16;
 
   /**
-   * Below the 200 ms after which a client repeats: a request that comes sooner is no repetition.
+   * A request that comes sooner after the opening is not a retry, since clients retry after 200 ms
+   * at the earliest.
    */
   private static final int JUST_OPENED_MS = 150;
 
   /**
-   * Where a request's time-out is shorter, one that has waited is given up by its client and done
-   * in vain: letting all wait cost a deployment with short time-outs 0.10 of its score, and gained
-   * one with long ones 0.03 (one trial each, against 2.5 waits).
+   * The minimum ratio of a route's timeout to the maximum wait for its requests to be queued. With
+   * a shorter timeout the client gives up a request that has waited, and the target serves it in
+   * vain. Queueing all requests lowered the score of a deployment with short timeouts by 0.10, and
+   * raised that of one with long timeouts by 0.03 (one trial each, compared with a ratio of 2.5).
    */
   private static final double MIN_TIMEOUT_TO_WAIT_RATIO = 2.0;
 
@@ -34,9 +36,9 @@
   private final Delivery delivery;
   private int waitingFlows;
 
-  /** Hands segments to the target. */
+  /** Delivers segments to the target. */
   interface Delivery {
-    /** Delivers a segment of a request. */
+    /** Delivers the bytes of one segment of a request. */
     void deliver(ByteBuffer datagram, long nowMs);
   }
 
@@ -48,22 +50,28 @@
     this.delivery = delivery;
   }
 
-  /** Takes the number of requests that the target works on at a time. */
+  /** Sets the number of requests that the target works on at a time; 0 if not known. */
   void setCapacity(int capacity) {
     gate.setCapacity(capacity);
   }
 
-  /** Returns how many flows have a request in progress or waiting. */
+  /** Returns the number of flows that have a request in progress or waiting. */
   int busyFlows() {
     return gate.inProgress() + waitingFlows;
   }
 
-  /** Returns the flow whose request has been in progress for longest, or null if there is none. */
+  /** Returns the flow whose request has been in progress longest, or null if there is none. */
   AgentFlow oldest() {
     return gate.oldest();
   }
 
-  /** Takes a client's segment; returns whether it waits, and is not to be delivered now. */
+  /**
+   * Queues a client's segment if the request that it belongs to has to wait.
+   *
+   * @param timeoutMs how long a request of the flow's route may take, in milliseconds
+   * @return whether the segment must not be delivered now: it was queued, or dropped as a duplicate
+   *     of a queued one or beyond the {@link #MAX_WAITING_SEGMENTS}
+   */
   boolean enqueueIfRequired(
       AgentFlow flow, int timeoutMs, Segment segment, ByteBuffer datagram, long nowMs) {
     if (flow.isWaiting()) {
@@ -97,24 +105,24 @@
       flow.addWaitingSegment(Datagrams.copyOf(datagram));
     }
     if (segment.kind() == Segment.Kind.CLOSE) {
-      // Nobody waits for the answer any more. The target, which learns so at once, drops the
-      // request.
+      // The client no longer waits for the response. The target gets the close right after the
+      // request, and so drops the request.
       flow.markClosed();
       release(flow, nowMs);
     }
     return true;
   }
 
-  // A request is new if the agent has seen its flow open just now at the first attempt, or has seen
-  // the answer before it; any other may be a repetition.
+  // A request is new if its flow was opened less than JUST_OPENED_MS ago by the first copy of the
+  // opening segment, or if the target has already sent data on the flow. Others may be retries.
   private static boolean isKnownToBeNew(AgentFlow flow, long nowMs) {
     boolean openedRecently = nowMs - flow.openedAtMs() < JUST_OPENED_MS;
     boolean atFirstAttempt =
         flow.stage() == AgentFlow.Stage.ACCEPTED && flow.wasOpenedByFirstCopy();
-    return (openedRecently && atFirstAttempt) || flow.isAnswered();
+    return (openedRecently && atFirstAttempt) || flow.hasTargetData();
   }
 
-  /** A flow's request no longer waits, and what it has sent is dropped. */
+  /** Cancels the wait of a flow's request and drops its segments. */
   void cancelWaiting(AgentFlow flow) {
     if (flow.isWaiting()) {
       flow.takeWaitingSegments();
@@ -122,7 +130,7 @@
     }
   }
 
-  /** A request has begun at the target. */
+  /** Counts a flow's request as in progress at the target. */
   void begin(AgentFlow flow, long nowMs) {
     if (!flow.isBusy()) {
       flow.beginRequest(nowMs);
@@ -130,7 +138,10 @@
     }
   }
 
-  /** A request has ended at the target, or is not waited for any more: others take its place. */
+  /**
+   * Ends a flow's request, which got its response, was broken off or given up or is stale, and
+   * releases waiting requests to the target in its place.
+   */
   void end(AgentFlow flow, long nowMs) {
     if (!flow.isBusy()) {
       return;
@@ -142,7 +153,7 @@
     }
   }
 
-  /** Drops a flow's request, whether it waits or is in progress. */
+  /** Drops a flow's request, whether waiting or in progress. */
   void drop(AgentFlow flow, long nowMs) {
     cancelWaiting(flow);
     end(flow, nowMs);
@@ -162,7 +173,7 @@
     }
   }
 
-  /** Forgets requests that were not answered for long, and releases those that waited for long. */
+  /** Ends requests that have become stale, and releases those that have waited the maximum time. */
   void onTick(long nowMs) {
     for (AgentFlow flow = gate.pollStale(staleAfterMs, nowMs);
         flow != null;
--- a/core/src/main/java/io/moorstage/core/agent/TargetIncarnation.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetIncarnation.java
@@ -1,44 +1,45 @@
 package io.moorstage.core.agent;
 
 /**
- * What an agent knows of its target's start, and so of the flows that the target may hold without
- * the agent's knowing. Guarded by the lock of {@link FlowAgent}.
+ * Tracks the incarnation of an agent's target, and whether it may hold flows that the agent has no
+ * entry for. Guarded by the lock of {@link FlowAgent}.
  *
- * <p>All segments pass through the agent. A target that has started beside the running agent, or
- * after the machine with its former agent was lost, holds no flow that the agent does not know. It
- * has, as far as can be told, if the source lists it while it still lists, as ready, the one before
- * it: that one died, without leaving, less than three heartbeats ago. An agent that was restarted
- * within that time after its target is mistaken; so balancers offer a segment to likely targets all
- * the same.
+ * <p>All segments pass through the agent. A target that started while the agent was running, or
+ * after the machine with its previous agent was lost, holds no flow unknown to the agent. The agent
+ * infers this if the source lists the target while it still lists its predecessor as ready: the
+ * predecessor ended without draining less than three heartbeats ago. The inference is wrong if the
+ * agent was restarted within that time after its target. Balancers therefore still offer a segment
+ * to such a target if it is among the most likely holders of the flow.
  */
 final class TargetIncarnation {
   private long id;
   private boolean startedAfterAgent;
 
   /**
-   * Takes which incarnation of the target the source lists, as a balancer reports it.
+   * Updates the incarnation of the target that the source lists, as a balancer reports it.
    *
-   * @param newId names this incarnation of the target
-   * @param tookOver whether the source still lists the target before it as ready
-   * @return whether it is another incarnation than the one reported before
+   * @param newId identifies the incarnation of the target
+   * @param predecessorListedReady whether the source still lists the target's predecessor as ready
+   * @return whether the incarnation differs from the one reported before
    */
-  boolean update(long newId, boolean tookOver) {
+  boolean update(long newId, boolean predecessorListedReady) {
     boolean changed = id != newId;
     if (changed) {
-      // That another one was listed before tells nothing: that may have been an old state.
+      // A different incarnation in an earlier report proves nothing: that report may have been
+      // stale.
       id = newId;
       startedAfterAgent = false;
     }
-    startedAfterAgent |= tookOver;
+    startedAfterAgent |= predecessorListedReady;
     return changed;
   }
 
-  /** The target has sent a segment of a flow that the agent does not know. */
+  /** Records that the target has sent a segment of a flow that the agent has no entry for. */
   void onUnknownFlow() {
     startedAfterAgent = false;
   }
 
-  /** Returns whether the target has most likely started no sooner than the agent. */
+  /** Returns whether the target most likely started after the agent. */
   boolean startedAfterAgent() {
     return startedAfterAgent;
   }
--- a/core/src/main/java/io/moorstage/core/agent/TargetSegments.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetSegments.java
@@ -8,9 +8,9 @@
 import javax.annotation.Nullable;
 
 /**
- * What becomes of the segments that the target sends: its own go to clients, and those that it
- * returns, since it can't take or does not hold their flow, go back to the balancer. Guarded by the
- * lock of {@link FlowAgent}.
+ * Handles segments from the target. Its own segments go to clients. Clients' segments that it
+ * returns, because it can't take or does not hold their flow, are given back to the balancer or
+ * reset the flow. Guarded by the lock of {@link FlowAgent}.
  */
 final class TargetSegments {
   private final AgentTarget target;
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Takes a segment from the target: its own, or a client's that it returns.
+   * Handles a segment from the target: one of its own, or a client's segment that it returns.
    *
-   * @param datagram the segment; a returned one no longer bears the mark of the return
+   * @param datagram the bytes of the segment; the flag that marks a returned one is cleared
    */
   void onTargetSegment(Segment segment, ByteBuffer datagram, long nowMs) {
     target.markAlive();
@@ -38,7 +38,7 @@
       return;
     }
     if (flow == null) {
-      // The agent was restarted; the target tells by its segments which flows it holds.
+      // The agent was restarted. The segment shows that the target holds this flow.
       target.onUnknownFlow();
       flow = AgentFlow.held(segment.flow(), nowMs);
       flows.add(flow);
@@ -50,7 +50,7 @@
     actions.sendToClient(segment.flow(), datagram);
     if (segment.dataBytes() > 0) {
       if (flow.isBusy()) {
-        target.onAnswer(flow, nowMs);
+        target.onResponse(flow, nowMs);
       }
       flows.requests().end(flow, nowMs);
     }
@@ -58,7 +58,8 @@
     flow.recordTargetData(segment);
   }
 
-  // A target closes after its answer, or without one if its client has given the request up.
+  // A target closes after its response, or without a response if the client has given up the
+  // request.
   private void recordTargetEnd(AgentFlow flow, Segment segment, long nowMs) {
     boolean ends = segment.kind() == Segment.Kind.CLOSE || segment.kind() == Segment.Kind.RESET;
     if (!ends) {
@@ -71,7 +72,7 @@
     flows.requests().end(flow, nowMs);
   }
 
-  // The target returns a segment that it can't take, or of a flow that it does not hold.
+  // Handles a segment that the target can't take, or that belongs to a flow it does not hold.
   private void onReturned(
       @Nullable AgentFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
     if (flow == null) {
@@ -90,7 +91,7 @@
     if (flow.stage() == AgentFlow.Stage.OFFERED) {
       flows.remove(flow, nowMs);
     } else {
-      // The client went on at another target that had accepted a copy of the opening segment.
+      // The client continued at another target, which had accepted a copy of the opening segment.
       flow.withdraw();
       flows.requests().drop(flow, nowMs);
     }
--- a/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
+++ b/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
@@ -7,7 +7,7 @@
 import io.moorstage.core.message.TargetReport;
 import io.moorstage.core.state.TargetPhase;
 
-/** An agent beside a target, and what balancers and the target send it. */
+/** Sets up an agent, and sends it segments and reports in place of balancers and its target. */
 abstract class AgentTestBase {
   static final int CAPACITY = 2;
   static final int SPARE = 2;
@@ -19,38 +19,39 @@
   long nowMs = 1_000;
   int coldOpeningsPerS;
   boolean repeatable = true;
-  boolean insists;
+  boolean overridesEjection;
   int nextPort = 10_000;
 
-  void forwarded(Segment segment) {
-    forwarded(segment, Fleet.SERVICE, 1);
+  void forward(Segment segment) {
+    forward(segment, Fleet.SERVICE, 1);
   }
 
-  void forwarded(Segment segment, String service, long version) {
-    forwarded(segment, service, version, TIMEOUT_MS);
+  void forward(Segment segment, String service, long version) {
+    forward(segment, service, version, TIMEOUT_MS);
   }
 
-  void forwarded(Segment segment, String service, long version, int timeoutMs) {
+  void forward(Segment segment, String service, long version, int timeoutMs) {
     ForwardTerms terms =
-        new ForwardTerms(service, version, timeoutMs, coldOpeningsPerS, repeatable, insists);
+        new ForwardTerms(
+            service, version, timeoutMs, coldOpeningsPerS, repeatable, overridesEjection);
     agent.onForwarded(Fleet.BALANCER, terms, segment, Fleet.bytes(segment), nowMs);
   }
 
-  boolean told(TargetPhase phase, boolean evacuated, long revision) {
+  boolean reportTarget(TargetPhase phase, boolean evacuated, long revision) {
     return agent.onTargetReport(
         new TargetReport(revision, phase, evacuated, CAPACITY, 5, false, 0, COLD_START_MS), nowMs);
   }
 
-  void fromTarget(Segment segment) {
+  void receiveFromTarget(Segment segment) {
     agent.onTargetSegment(segment, Fleet.bytes(segment), nowMs);
   }
 
   void openFlow(int port) {
-    forwarded(Fleet.open(Fleet.flow(port), 0));
-    fromTarget(Fleet.accepted(Fleet.flow(port)));
+    forward(Fleet.open(Fleet.flow(port), 0));
+    receiveFromTarget(Fleet.accepted(Fleet.flow(port)));
   }
 
-  void answer(int port) {
-    fromTarget(Fleet.data(Fleet.flow(port), 2, 100));
+  void respond(int port) {
+    receiveFromTarget(Fleet.data(Fleet.flow(port), 2, 100));
   }
 }
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
@@ -11,9 +11,9 @@
 import io.moorstage.core.state.TargetPhase;
 import org.junit.jupiter.api.Test;
 
-/** What an agent concludes of its target: cold, ended, unfit. */
+/** Tests how an agent detects that its target is cold, has ended, or is to be ejected. */
 class FlowAgentTargetTest extends AgentTestBase {
-  private void awaitCheck() {
+  private void advanceToNextCheck() {
     int before = actions.targetChecks;
     for (int i = 0; i < 100 && actions.targetChecks == before; i++) {
       nowMs += 20;
@@ -22,25 +22,26 @@
     assertThat(actions.targetChecks).isEqualTo(before + 1);
   }
 
-  private void findTargetEnded() {
-    awaitCheck();
+  private void confirmTargetEnded() {
+    advanceToNextCheck();
     agent.onTargetCheck(true, nowMs);
     assertThat(agent.hasTargetEnded()).isFalse();
-    awaitCheck();
+    advanceToNextCheck();
     agent.onTargetCheck(true, nowMs);
     assertThat(agent.hasTargetEnded()).isTrue();
   }
 
-  // A balancer that has just started has read a source that came back from an older copy.
+  // Guards against new flows at a draining target: a balancer that has just started may have read a
+  // source that was restored from an older copy, and report the target as ready.
   @Test
   void targetThatLeavesGetsNoNewFlowThoughABalancerReportsItAsReadyAgain() {
     agent.onTargetReport(report(TargetPhase.DRAINING, Revision.of(1, 18), 5), nowMs);
     agent.onTargetReport(report(TargetPhase.READY, Revision.of(2, 3), 5), nowMs);
-    forwarded(Fleet.open(Fleet.flow(1), 0));
+    forward(Fleet.open(Fleet.flow(1), 0));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.LEAVING);
 
     agent.onTargetReport(report(TargetPhase.READY, Revision.of(2, 4), 6), nowMs);
-    forwarded(Fleet.open(Fleet.flow(2), 0));
+    forward(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.givenBack).hasSize(1);
   }
 
@@ -51,45 +52,46 @@
   @Test
   void flowsOfATargetThatHasEndedAreResetAndNewOnesGoElsewhereAtOnce() {
     openFlow(1);
-    fromTarget(Fleet.data(Fleet.flow(1), 2, 100));
+    receiveFromTarget(Fleet.data(Fleet.flow(1), 2, 100));
     openFlow(2);
-    fromTarget(Fleet.data(Fleet.flow(2), 2, 100));
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
-    findTargetEnded();
+    receiveFromTarget(Fleet.data(Fleet.flow(2), 2, 100));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
+    confirmTargetEnded();
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
 
-    forwarded(Fleet.data(Fleet.flow(2), 101, 10));
+    forward(Fleet.data(Fleet.flow(2), 101, 10));
     assertThat(actions.reset).containsExactly(Fleet.flow(1), Fleet.flow(2));
-    forwarded(Fleet.open(Fleet.flow(3), 0));
+    forward(Fleet.open(Fleet.flow(3), 0));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.ENDED);
     assertThat(agent.onQuery(Fleet.flow(9), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
   }
 
-  // It may be held by another target that has got the opening or an offer too.
+  // Guards against the reset of a live flow: another target that also got the opening, or an offer
+  // of the flow, may hold it.
   @Test
   void flowThatAnEndedTargetMayNeverHaveHeldIsGivenBackAndNotReset() {
     openFlow(1);
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
-    forwarded(Fleet.data(Fleet.flow(2), 501, 10));
-    findTargetEnded();
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
-    forwarded(Fleet.data(Fleet.flow(2), 501, 10));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
+    forward(Fleet.data(Fleet.flow(2), 501, 10));
+    confirmTargetEnded();
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
+    forward(Fleet.data(Fleet.flow(2), 501, 10));
     assertThat(actions.reset).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD, GiveBackReason.NOT_HELD);
   }
 
   @Test
-  void targetThatTakesTheCheckOrAnswersMeanwhileCountsAsRunning() {
+  void targetThatAcceptsTheCheckOrSendsASegmentCountsAsRunning() {
     openFlow(1);
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
-    awaitCheck();
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
+    advanceToNextCheck();
     agent.onTargetCheck(true, nowMs);
-    answer(1);
+    respond(1);
     agent.onTargetCheck(true, nowMs);
     assertThat(agent.hasTargetEnded()).isFalse();
-    forwarded(Fleet.data(Fleet.flow(1), 111, 10));
-    awaitCheck();
+    forward(Fleet.data(Fleet.flow(1), 111, 10));
+    advanceToNextCheck();
     agent.onTargetCheck(false, nowMs);
     agent.onTargetCheck(true, nowMs);
     assertThat(agent.hasTargetEnded()).isFalse();
@@ -97,221 +99,224 @@
   }
 
   @Test
-  void targetThatAnswersAsUsualIsNotChecked() {
+  void targetThatRespondsAsUsualIsNotChecked() {
     openFlow(1);
     for (int i = 0; i < 100; i++) {
-      forwarded(Fleet.data(Fleet.flow(1), 101 + 10 * i, 10));
+      forward(Fleet.data(Fleet.flow(1), 101 + 10 * i, 10));
       nowMs += 20;
       agent.onTick(nowMs);
-      answer(1);
+      respond(1);
     }
     assertThat(actions.targetChecks).isEqualTo(0);
   }
 
   @Test
-  void targetThatIsListedAnewAfterItsEndGetsNewFlows() {
-    told(TargetPhase.READY, false, 1);
-    forwarded(Fleet.open(Fleet.flow(1), 0));
-    findTargetEnded();
+  void targetThatIsListedAgainAfterItsEndGetsNewFlows() {
+    reportTarget(TargetPhase.READY, false, 1);
+    forward(Fleet.open(Fleet.flow(1), 0));
+    confirmTargetEnded();
     agent.onTargetReport(
         new TargetReport(4, TargetPhase.READY, false, CAPACITY, 7, false, 0, 0), nowMs);
-    forwarded(Fleet.open(Fleet.flow(2), 0));
+    forward(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.delivered).contains(Fleet.open(Fleet.flow(2), 0).toString());
   }
 
-  private int givenBackAsUnfit() {
+  private int countGivenBackAsUnfit() {
     return (int) actions.givenBack.stream().filter(GiveBackReason.UNFIT::equals).count();
   }
 
   private void breakOff(int port) {
     openFlow(port);
-    forwarded(Fleet.data(Fleet.flow(port), 101, 10));
+    forward(Fleet.data(Fleet.flow(port), 101, 10));
     Segment reset = new Segment(Fleet.flow(port), Segment.Kind.RESET, 0, false, 2, 0, 0);
-    fromTarget(reset);
+    receiveFromTarget(reset);
   }
 
-  // Each such target took 58 requests in 5.5 s, while its health check said that it was well.
+  // Guards against a target that resets all requests while its health check succeeds: without the
+  // ejection each such target got 58 requests in 5.5 s.
   @Test
-  void targetThatBreaksOffSeveralRequestsInARowGetsNoNewFlowForAWhile() {
+  void targetThatBreaksOffConsecutiveRequestsIsEjected() {
     breakOff(1);
     breakOff(2);
-    assertThat(agent.isTargetUnfit()).isFalse();
+    assertThat(agent.isTargetEjected()).isFalse();
     breakOff(3);
-    assertThat(agent.isTargetUnfit()).isTrue();
-    forwarded(Fleet.open(Fleet.flow(4), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(1);
+    assertThat(agent.isTargetEjected()).isTrue();
+    forward(Fleet.open(Fleet.flow(4), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(1);
   }
 
-  // The closing segment is short, and came before the answer in half of all cases.
+  // Guards against false failures: the short closing segment arrived before the response in half of
+  // all cases.
   @Test
-  void closeThatOvertakesTheAnswerDoesNotCountAgainstTheTarget() {
+  void closeThatOvertakesTheResponseDoesNotCountAsAFailure() {
     for (int port = 1; port <= 5; port++) {
       openFlow(port);
-      forwarded(Fleet.data(Fleet.flow(port), 101, 10));
-      fromTarget(Fleet.close(Fleet.flow(port), 102));
-      fromTarget(Fleet.data(Fleet.flow(port), 2, 100));
+      forward(Fleet.data(Fleet.flow(port), 101, 10));
+      receiveFromTarget(Fleet.close(Fleet.flow(port), 102));
+      receiveFromTarget(Fleet.data(Fleet.flow(port), 2, 100));
     }
-    assertThat(agent.isTargetUnfit()).isFalse();
+    assertThat(agent.isTargetEjected()).isFalse();
   }
 
   @Test
-  void closeWithoutAnAnswerCountsAgainstTheTarget() {
+  void closeWithoutAResponseCountsAsAFailure() {
     for (int port = 1; port <= 3; port++) {
       openFlow(port);
-      forwarded(Fleet.data(Fleet.flow(port), 101, 10));
-      fromTarget(Fleet.close(Fleet.flow(port), 2));
+      forward(Fleet.data(Fleet.flow(port), 101, 10));
+      receiveFromTarget(Fleet.close(Fleet.flow(port), 2));
     }
-    assertThat(agent.isTargetUnfit()).isTrue();
+    assertThat(agent.isTargetEjected()).isTrue();
   }
 
   @Test
-  void targetThatAnswersInBetweenStaysInUse() {
+  void targetThatRespondsBetweenFailuresIsNotEjected() {
     for (int port = 1; port <= 20; port += 2) {
       breakOff(port);
       openFlow(port + 1);
-      forwarded(Fleet.data(Fleet.flow(port + 1), 101, 10));
-      answer(port + 1);
+      forward(Fleet.data(Fleet.flow(port + 1), 101, 10));
+      respond(port + 1);
     }
-    assertThat(agent.isTargetUnfit()).isFalse();
+    assertThat(agent.isTargetEjected()).isFalse();
   }
 
   @Test
-  void unfitTargetIsTriedWithOneRepeatableFlowAndIsBackInUseOnceItAnswers() {
+  void ejectedTargetIsProbedWithOneRepeatableFlowAndUsedAgainOnceItResponds() {
     breakOff(1);
     breakOff(2);
     breakOff(3);
     nowMs += 1_100;
     repeatable = false;
-    forwarded(Fleet.open(Fleet.flow(4), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(1);
+    forward(Fleet.open(Fleet.flow(4), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(1);
     repeatable = true;
     openFlow(5);
-    forwarded(Fleet.open(Fleet.flow(6), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(2);
-    forwarded(Fleet.data(Fleet.flow(5), 101, 10));
-    answer(5);
-    assertThat(agent.isTargetUnfit()).isFalse();
+    forward(Fleet.open(Fleet.flow(6), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(2);
+    forward(Fleet.data(Fleet.flow(5), 101, 10));
+    respond(5);
+    assertThat(agent.isTargetEjected()).isFalse();
   }
 
   @Test
-  void targetWhoseTrialFailsIsLeftOutForLonger() {
+  void targetWhoseProbeFailsIsEjectedForLonger() {
     breakOff(1);
     breakOff(2);
     breakOff(3);
     nowMs += 1_100;
     breakOff(4);
-    assertThat(givenBackAsUnfit()).isEqualTo(0);
+    assertThat(countGivenBackAsUnfit()).isEqualTo(0);
     nowMs += 1_100;
-    forwarded(Fleet.open(Fleet.flow(5), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(1);
+    forward(Fleet.open(Fleet.flow(5), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(1);
     nowMs += 1_000;
-    forwarded(Fleet.open(Fleet.flow(6), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(1);
+    forward(Fleet.open(Fleet.flow(6), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(1);
   }
 
   @Test
-  void targetThatAnswersNothingForMuchLongerThanUsualIsUnfit() {
+  void targetWithoutAResponseForMuchLongerThanUsualIsEjected() {
     openFlow(1);
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
     nowMs += 400;
     agent.onTick(nowMs);
-    assertThat(agent.isTargetUnfit()).isFalse();
+    assertThat(agent.isTargetEjected()).isFalse();
     nowMs += 20;
     agent.onTick(nowMs);
-    assertThat(agent.isTargetUnfit()).isTrue();
+    assertThat(agent.isTargetEjected()).isTrue();
   }
 
   @Test
-  void requestThatItsClientHasGivenUpDoesNotCountAgainstTheTarget() {
+  void requestThatItsClientHasGivenUpDoesNotCountAsAFailure() {
     for (int port = 1; port <= 5; port++) {
       openFlow(port);
-      forwarded(Fleet.data(Fleet.flow(port), 101, 10));
-      forwarded(Fleet.close(Fleet.flow(port), 111));
-      fromTarget(Fleet.close(Fleet.flow(port), 2));
+      forward(Fleet.data(Fleet.flow(port), 101, 10));
+      forward(Fleet.close(Fleet.flow(port), 111));
+      receiveFromTarget(Fleet.close(Fleet.flow(port), 2));
     }
-    assertThat(agent.isTargetUnfit()).isFalse();
+    assertThat(agent.isTargetEjected()).isFalse();
   }
 
   @Test
-  void unfitTargetTakesAFlowThatABalancerInsistsOn() {
+  void ejectedTargetGetsAFlowWhoseBalancerOverridesTheEjection() {
     breakOff(1);
     breakOff(2);
     breakOff(3);
-    insists = true;
-    forwarded(Fleet.open(Fleet.flow(4), 0));
-    assertThat(givenBackAsUnfit()).isEqualTo(0);
+    overridesEjection = true;
+    forward(Fleet.open(Fleet.flow(4), 0));
+    assertThat(countGivenBackAsUnfit()).isEqualTo(0);
     assertThat(actions.delivered).contains(Fleet.open(Fleet.flow(4), 0).toString());
   }
 
-  private int admitted(int openings) {
+  private int countAdmitted(int openings) {
     int before = actions.delivered.size();
     for (int i = 0; i < openings; i++) {
-      forwarded(Fleet.open(Fleet.flow(nextPort++), 0));
+      forward(Fleet.open(Fleet.flow(nextPort++), 0));
     }
     return actions.delivered.size() - before;
   }
 
   @Test
-  void coldTargetGetsNoMoreOpeningsInAnySecondThanItBears() {
+  void coldTargetGetsNoMoreOpeningsInAnySecondThanItsLimit() {
     coldOpeningsPerS = 10;
-    told(TargetPhase.READY, false, 1);
-    assertThat(admitted(6)).isEqualTo(6);
+    reportTarget(TargetPhase.READY, false, 1);
+    assertThat(countAdmitted(6)).isEqualTo(6);
     nowMs += 900;
-    assertThat(admitted(6)).isEqualTo(4);
+    assertThat(countAdmitted(6)).isEqualTo(4);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.COLD, GiveBackReason.COLD);
     nowMs += 200;
-    // Six of the second that now ends have left the window, four have not.
-    assertThat(admitted(20)).isEqualTo(6);
+    // The window has dropped the first six openings, and still contains the four later ones.
+    assertThat(countAdmitted(20)).isEqualTo(6);
   }
 
   @Test
-  void targetThatIsWarmGetsAllOpenings() {
+  void warmTargetGetsAllOpenings() {
     coldOpeningsPerS = 10;
-    told(TargetPhase.READY, false, 1);
+    reportTarget(TargetPhase.READY, false, 1);
     nowMs += COLD_START_MS + 1;
-    assertThat(admitted(50)).isEqualTo(50);
+    assertThat(countAdmitted(50)).isEqualTo(50);
   }
 
   @Test
   void targetCountsAsColdAgainAfterAnEvacuationAndAfterAnotherStart() {
     coldOpeningsPerS = 10;
-    told(TargetPhase.READY, false, 1);
+    reportTarget(TargetPhase.READY, false, 1);
     nowMs += 10_000;
-    told(TargetPhase.READY, true, 2);
+    reportTarget(TargetPhase.READY, true, 2);
     nowMs += 10_000;
-    told(TargetPhase.READY, false, 3);
-    assertThat(admitted(50)).isEqualTo(10);
+    reportTarget(TargetPhase.READY, false, 3);
+    assertThat(countAdmitted(50)).isEqualTo(10);
 
     nowMs += 10_000;
-    assertThat(admitted(50)).isEqualTo(50);
+    assertThat(countAdmitted(50)).isEqualTo(50);
     nowMs += 10_000;
     agent.onTargetReport(
         new TargetReport(4, TargetPhase.READY, false, CAPACITY, 7, false, 0, COLD_START_MS), nowMs);
-    assertThat(admitted(50)).isEqualTo(10);
+    assertThat(countAdmitted(50)).isEqualTo(10);
   }
 
   @Test
-  void recordThatTurnsColdMakesItsTargetCold() {
+  void recordWithALongerSlowStartMakesItsTargetCold() {
     coldOpeningsPerS = 10;
-    told(TargetPhase.READY, false, 1);
+    reportTarget(TargetPhase.READY, false, 1);
     nowMs += 10_000;
     agent.onTargetReport(
         new TargetReport(4, TargetPhase.READY, false, CAPACITY, 5, false, 1_500, COLD_START_MS),
         nowMs);
-    assertThat(admitted(50)).isEqualTo(10);
+    assertThat(countAdmitted(50)).isEqualTo(10);
   }
 
-  // It may have been restarted beside a target that has just started.
+  // Guards against too many new flows at a cold target: the agent may have been restarted
+  // at the same time as its target.
   @Test
-  void agentThatNobodyHasToldAnythingTakesItsTargetForCold() {
+  void agentWithoutAnyReportTreatsItsTargetAsCold() {
     coldOpeningsPerS = 10;
     nowMs += 1_000_000;
-    assertThat(admitted(50)).isEqualTo(10);
+    assertThat(countAdmitted(50)).isEqualTo(10);
   }
 
   @Test
   void coldTargetOfAServiceWithoutALimitGetsAllOpenings() {
-    told(TargetPhase.READY, false, 1);
-    assertThat(admitted(50)).isEqualTo(50);
+    reportTarget(TargetPhase.READY, false, 1);
+    assertThat(countAdmitted(50)).isEqualTo(50);
   }
 }
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
@@ -10,26 +10,28 @@
 import io.moorstage.core.state.TargetPhase;
 import org.junit.jupiter.api.Test;
 
+/** Tests which segments an agent delivers, queues, gives back or resets. */
 class FlowAgentTest extends AgentTestBase {
   @Test
   void openingOfAnotherServiceNeverReachesTheTarget() {
-    forwarded(Fleet.open(Fleet.flow(1), 0), "bundles", 1);
+    forward(Fleet.open(Fleet.flow(1), 0), "bundles", 1);
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.OTHER_SERVICE);
   }
 
-  // The target of that service may have had the address before.
+  // Guards against delivery to the wrong service: a target of that service may have had the address
+  // before.
   @Test
   void segmentOfAnUnknownFlowOfAnotherServiceNeverReachesTheTarget() {
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10), "other", 1);
+    forward(Fleet.data(Fleet.flow(1), 101, 10), "other", 1);
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
   }
 
   @Test
   void openingUnderAnOlderConfigurationThanOneInEffectIsGivenBack() {
-    forwarded(Fleet.open(Fleet.flow(1), 0), Fleet.SERVICE, 7);
-    forwarded(Fleet.open(Fleet.flow(2), 0), Fleet.SERVICE, 6);
+    forward(Fleet.open(Fleet.flow(1), 0), Fleet.SERVICE, 7);
+    forward(Fleet.open(Fleet.flow(2), 0), Fleet.SERVICE, 6);
     assertThat(actions.delivered).hasSize(1);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.OLD_CONFIGURATION);
   }
@@ -37,63 +39,63 @@
   @Test
   void leavingTargetGetsNoOpeningAndKeepsItsFlows() {
     openFlow(1);
-    told(TargetPhase.DRAINING, false, 9);
-    forwarded(Fleet.open(Fleet.flow(2), 0));
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
+    reportTarget(TargetPhase.DRAINING, false, 9);
+    forward(Fleet.open(Fleet.flow(2), 0));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).hasSize(2);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.LEAVING);
   }
 
-  // The bound must not depend on the balancer that hears last of the evacuation.
+  // Guards against new flows from a balancer that has not received the evacuation yet.
   @Test
   void targetOfAnEvacuatedZoneGetsNoOpeningWhateverABalancerSendsAndKeepsItsFlows() {
     openFlow(1);
-    assertThat(told(TargetPhase.READY, true, 9)).isTrue();
-    forwarded(Fleet.open(Fleet.flow(2), 0));
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
+    assertThat(reportTarget(TargetPhase.READY, true, 9)).isTrue();
+    forward(Fleet.open(Fleet.flow(2), 0));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).hasSize(2);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.EVACUATED);
 
-    assertThat(told(TargetPhase.READY, false, 8)).isFalse();
-    forwarded(Fleet.open(Fleet.flow(3), 0));
+    assertThat(reportTarget(TargetPhase.READY, false, 8)).isFalse();
+    forward(Fleet.open(Fleet.flow(3), 0));
     assertThat(actions.delivered).hasSize(2);
-    assertThat(told(TargetPhase.READY, false, 12)).isTrue();
-    forwarded(Fleet.open(Fleet.flow(3), 0));
+    assertThat(reportTarget(TargetPhase.READY, false, 12)).isTrue();
+    forward(Fleet.open(Fleet.flow(3), 0));
     assertThat(actions.delivered).hasSize(3);
   }
 
   @Test
-  void olderWordOfTheTargetsPhaseIsNotTaken() {
-    told(TargetPhase.DRAINING, false, 9);
-    assertThat(told(TargetPhase.READY, false, 8)).isFalse();
+  void olderReportOfTheTargetsPhaseIsIgnored() {
+    reportTarget(TargetPhase.DRAINING, false, 9);
+    assertThat(reportTarget(TargetPhase.READY, false, 8)).isFalse();
     assertThat(agent.phase()).isEqualTo(TargetPhase.DRAINING);
   }
 
   @Test
   void returnedOpeningGoesBackToTheBalancer() {
-    forwarded(Fleet.open(Fleet.flow(1), 0));
-    fromTarget(Fleet.returned(Fleet.open(Fleet.flow(1), 0)));
+    forward(Fleet.open(Fleet.flow(1), 0));
+    receiveFromTarget(Fleet.returned(Fleet.open(Fleet.flow(1), 0)));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.FULL);
   }
 
   @Test
-  void unansweredOpeningIsGivenBackAndALateAnswerIsNotPassedOn() {
-    forwarded(Fleet.open(Fleet.flow(1), 0));
+  void openingWithoutAResponseIsGivenBackAndALateResponseIsDropped() {
+    forward(Fleet.open(Fleet.flow(1), 0));
     nowMs += Fleet.POLICY.opening().answerTimeoutMs();
     agent.onTick(nowMs);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.SILENT);
-    fromTarget(Fleet.accepted(Fleet.flow(1)));
+    receiveFromTarget(Fleet.accepted(Fleet.flow(1)));
     assertThat(actions.toClients).isEmpty();
   }
 
   @Test
   void flowThatTheTargetHeldAndHasLostIsReset() {
     openFlow(1);
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
-    answer(1);
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
+    respond(1);
     Segment next = Fleet.data(Fleet.flow(1), 111, 10);
-    forwarded(next);
-    fromTarget(Fleet.returned(next));
+    forward(next);
+    receiveFromTarget(Fleet.returned(next));
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
   }
@@ -102,79 +104,80 @@
   void flowThatWasOnlyAcceptedHereAndOpenedElsewhereIsGivenBackAndNotReset() {
     openFlow(1);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
-    forwarded(data);
-    fromTarget(Fleet.returned(data));
+    forward(data);
+    receiveFromTarget(Fleet.returned(data));
     assertThat(actions.reset).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
   }
 
   @Test
-  void restartedAgentLearnsItsFlowsFromTheTarget() {
+  void restartedAgentRebuildsItsFlowsFromTheTargetsSegments() {
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
-    answer(1);
+    respond(1);
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.HELD);
   }
 
   @Test
   void restartedAgentOffersAnUnknownFlowToItsTarget() {
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
-    forwarded(data);
+    forward(data);
     assertThat(actions.delivered).hasSize(1);
-    fromTarget(Fleet.returned(data));
+    receiveFromTarget(Fleet.returned(data));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
   }
 
   @Test
-  void agentThatHasRunForLongKnowsThatAnUnknownFlowIsNotHeld() {
+  void agentThatHasRunForLongReportsAnUnknownFlowAsNotHeld() {
     nowMs = Fleet.POLICY.memory().flowMs() + 1;
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
   }
 
   private void fillTarget() {
-    told(TargetPhase.READY, false, 1);
+    reportTarget(TargetPhase.READY, false, 1);
     for (int port = 1; port <= CAPACITY + SPARE; port++) {
       openFlow(port);
-      forwarded(Fleet.data(Fleet.flow(port), 101, 10));
+      forward(Fleet.data(Fleet.flow(port), 101, 10));
     }
     actions.delivered.clear();
   }
 
   @Test
-  void requestWaitsWhileTheTargetIsAtItsLimitAndGoesWhenAnAnswerFreesAPlace() {
+  void requestWaitsWhileTheTargetIsAtItsLimitUntilAResponseFreesAPlace() {
     fillTarget();
     openFlow(50);
     actions.delivered.clear();
-    forwarded(Fleet.data(Fleet.flow(50), 101, 10));
+    forward(Fleet.data(Fleet.flow(50), 101, 10));
     assertThat(actions.delivered).isEmpty();
-    answer(1);
+    respond(1);
     assertThat(actions.delivered).hasSize(1);
   }
 
-  // With short time-outs, requests that waited were done in vain and kept the target busy.
+  // Guards against wasted work: with short timeouts, clients gave up requests that had waited, and
+  // the target was busy with them in vain.
   @Test
   void requestOfARouteWithAShortTimeoutDoesNotWait() {
     fillTarget();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
-    forwarded(data, Fleet.SERVICE, 1, 1_200);
+    forward(data, Fleet.SERVICE, 1, 1_200);
     assertThat(actions.delivered).containsExactly(data.toString());
   }
 
   @Test
-  void requestThatIsKnownToBeNewGoesBeforeOneThatMayBeOld() {
+  void newRequestGoesBeforeAPossibleRetry() {
     fillTarget();
     Segment old = Fleet.data(Fleet.flow(60), 101, 10);
-    forwarded(old);
+    forward(old);
     openFlow(61);
     actions.delivered.clear();
     Segment fresh = Fleet.data(Fleet.flow(61), 101, 10);
-    forwarded(fresh);
-    answer(1);
+    forward(fresh);
+    respond(1);
     assertThat(actions.delivered).containsExactly(fresh.toString());
-    answer(2);
+    respond(2);
     assertThat(actions.delivered).containsExactly(fresh.toString(), old.toString()).inOrder();
   }
 
@@ -182,9 +185,9 @@
   void repeatedSegmentOfAWaitingRequestIsDeliveredOnce() {
     fillTarget();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
-    forwarded(data);
-    forwarded(data);
-    answer(1);
+    forward(data);
+    forward(data);
+    respond(1);
     assertThat(actions.delivered).containsExactly(data.toString());
   }
 
@@ -193,38 +196,39 @@
     fillTarget();
     Segment first = Fleet.data(Fleet.flow(60), 101, 10);
     Segment second = Fleet.data(Fleet.flow(60), 111, 10);
-    forwarded(first);
-    forwarded(second);
-    answer(1);
+    forward(first);
+    forward(second);
+    respond(1);
     assertThat(actions.delivered).containsExactly(first.toString(), second.toString()).inOrder();
   }
 
   @Test
-  void noRequestWaitsLongerThanItsBound() {
+  void noRequestWaitsLongerThanTheMaximum() {
     fillTarget();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
-    forwarded(data);
+    forward(data);
     nowMs += Fleet.POLICY.requests().waitMs();
     agent.onTick(nowMs);
     assertThat(actions.delivered).containsExactly(data.toString());
   }
 
-  // In a lasting overload each place that becomes free once went to requests that were late.
+  // Guards against starvation of new requests: during a long overload, all free places once went to
+  // requests that were already late.
   @Test
   void requestThatHasWaitedLongGetsEveryOtherFreePlace() {
     fillTarget();
     for (int port = 60; port <= 63; port++) {
       openFlow(port);
-      forwarded(Fleet.data(Fleet.flow(port), 101, 10));
+      forward(Fleet.data(Fleet.flow(port), 101, 10));
     }
     nowMs += Fleet.POLICY.requests().turnMs();
     openFlow(70);
     openFlow(71);
     actions.delivered.clear();
-    forwarded(Fleet.data(Fleet.flow(70), 101, 10));
-    forwarded(Fleet.data(Fleet.flow(71), 101, 10));
-    answer(1);
-    answer(2);
+    forward(Fleet.data(Fleet.flow(70), 101, 10));
+    forward(Fleet.data(Fleet.flow(71), 101, 10));
+    respond(1);
+    respond(2);
     assertThat(actions.delivered)
         .containsExactly(
             Fleet.data(Fleet.flow(60), 101, 10).toString(),
@@ -232,16 +236,17 @@
         .inOrder();
   }
 
-  // After an outage most of what the target had in progress were requests that had been given up.
+  // Guards against a gate that stays closed: after an outage, most requests counted as in progress
+  // had been given up by their clients.
   @Test
-  void requestThatTheTargetEndsWithoutAnAnswerNoLongerCountsAsInProgress() {
+  void requestThatTheTargetEndsWithoutAResponseNoLongerCountsAsInProgress() {
     fillTarget();
     openFlow(60);
     Segment next = Fleet.data(Fleet.flow(60), 101, 10);
     actions.delivered.clear();
-    forwarded(next);
-    forwarded(Fleet.close(Fleet.flow(1), 111));
-    fromTarget(Fleet.close(Fleet.flow(1), 2));
+    forward(next);
+    forward(Fleet.close(Fleet.flow(1), 111));
+    receiveFromTarget(Fleet.close(Fleet.flow(1), 2));
     assertThat(actions.delivered)
         .containsExactly(Fleet.close(Fleet.flow(1), 111).toString(), next.toString())
         .inOrder();
@@ -255,39 +260,39 @@
     actions.delivered.clear();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
     Segment close = Fleet.close(Fleet.flow(60), 111);
-    forwarded(data);
-    forwarded(close);
+    forward(data);
+    forward(close);
     assertThat(actions.delivered).containsExactly(data.toString(), close.toString()).inOrder();
     assertThat(agent.busyFlows()).isEqualTo(CAPACITY + SPARE);
   }
 
   @Test
-  void dataThatArrivesBehindTheCloseOfItsFlowDoesNotWait() {
+  void dataThatArrivesAfterTheCloseOfItsFlowDoesNotWait() {
     fillTarget();
     openFlow(60);
     actions.delivered.clear();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
-    forwarded(Fleet.close(Fleet.flow(60), 111));
-    forwarded(data);
+    forward(Fleet.close(Fleet.flow(60), 111));
+    forward(data);
     assertThat(actions.delivered).contains(data.toString());
     assertThat(agent.busyFlows()).isEqualTo(CAPACITY + SPARE);
   }
 
   @Test
-  void repetitionOfAnAnsweredRequestDoesNotCountAsInProgress() {
-    told(TargetPhase.READY, false, 1);
+  void retryOfACompletedRequestDoesNotCountAsInProgress() {
+    reportTarget(TargetPhase.READY, false, 1);
     openFlow(1);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
-    forwarded(data);
-    answer(1);
-    forwarded(data);
+    forward(data);
+    respond(1);
+    forward(data);
     assertThat(agent.busyFlows()).isEqualTo(0);
   }
 
   @Test
-  void requestWhoseAnswerNeverComesStopsCountingAsInProgress() {
+  void requestWithoutAResponseStopsCountingAsInProgress() {
     openFlow(1);
-    forwarded(Fleet.data(Fleet.flow(1), 101, 10));
+    forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(agent.busyFlows()).isEqualTo(1);
     nowMs += Fleet.POLICY.requests().forgetMs();
     agent.onTick(nowMs);
@@ -295,7 +300,7 @@
   }
 
   @Test
-  void unknownFlowIsUnlikelyAtATargetThatTookOverWhileTheAgentRuns() {
+  void unknownFlowIsUnlikelyAtATargetThatStartedAfterTheAgent() {
     agent.onTargetReport(
         new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNLIKELY);
@@ -304,10 +309,10 @@
   }
 
   @Test
-  void targetThatTurnsOutToHoldAnUnknownFlowIsNoLongerTakenForNew() {
+  void targetThatHoldsAnUnknownFlowIsNoLongerAssumedToBeNew() {
     agent.onTargetReport(
         new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
-    fromTarget(Fleet.data(Fleet.flow(3), 2, 100));
+    receiveFromTarget(Fleet.data(Fleet.flow(3), 2, 100));
     assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
   }
 }
--- a/core/src/test/java/io/moorstage/core/agent/TargetIncarnationTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/TargetIncarnationTest.java
@@ -4,11 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Tests when a target counts as started after its agent. */
 class TargetIncarnationTest {
   private final TargetIncarnation incarnation = new TargetIncarnation();
 
   @Test
-  void targetThatTookOverFromOneThatDiedHasStartedBesideTheAgent() {
+  void targetWhosePredecessorIsListedAsReadyStartedAfterTheAgent() {
     incarnation.update(5, true);
     assertThat(incarnation.startedAfterAgent()).isTrue();
     incarnation.update(5, false);
@@ -16,14 +17,15 @@
   }
 
   @Test
-  void targetThatTheAgentMeetsMayHaveRunForLong() {
+  void targetOfTheFirstReportMayHaveStartedBeforeTheAgent() {
     incarnation.update(5, false);
     assertThat(incarnation.startedAfterAgent()).isFalse();
   }
 
-  // A balancer that is behind may name the one before it first.
+  // Guards against a wrong inference from a change of incarnation: a balancer with stale state may
+  // first report the predecessor.
   @Test
-  void targetThatWasListedAfterAnotherMayHaveRunForLong() {
+  void targetThatWasListedAfterAnotherMayHaveStartedBeforeTheAgent() {
     incarnation.update(5, false);
     incarnation.update(0, false);
     incarnation.update(6, false);
@@ -31,7 +33,7 @@
   }
 
   @Test
-  void targetThatSendsSegmentsOfAnUnknownFlowHasNot() {
+  void targetThatSendsSegmentsOfAnUnknownFlowStartedBeforeTheAgent() {
     incarnation.update(5, true);
     incarnation.onUnknownFlow();
     assertThat(incarnation.startedAfterAgent()).isFalse();
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
@@ -142,7 +142,7 @@
         copy.revision(),
         agent.busyFlows(),
         stopping,
-        agent.isTargetUnfit(),
+        agent.isTargetEjected(),
         agent.hasTargetEnded(),
         balancers.live(settings.zone(), BalancerBeacons.LISTED, nowMs));
   }
