--- a/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlow.java
@@ -152,7 +152,7 @@
     return stage == Stage.OPEN || stage == Stage.LOST;
   }
 
-  /** Returns the opening segment if the target has not responded it, or null. */
+  /** Returns the opening segment if the target has not responded to it, or null. */
   @Nullable
   byte[] unansweredOpening() {
     return stage == Stage.OPENING ? openSegment : null;
@@ -181,7 +181,7 @@
     targetDataSeen |= segment.dataBytes() > 0;
   }
 
-  /** Drops later responses of the target, since another target holds, or may get, the flow. */
+  /** Withdraws the flow: another target holds or may get it, so later responses are dropped. */
   void withdraw() {
     stage = Stage.WITHDRAWN;
     openSegment = null;
@@ -285,7 +285,7 @@
    * @param end a closing or reset segment of the target; never true for a reset
    */
   boolean followsUnseenData(Segment end) {
-    boolean isBehind = end.sequence() - targetSequence > 0;
-    return end.kind() == Segment.Kind.CLOSE && (!targetSequenceKnown || isBehind);
+    boolean hasGap = end.sequence() - targetSequence > 0;
+    return end.kind() == Segment.Kind.CLOSE && (!targetSequenceKnown || hasGap);
   }
 }
--- a/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
@@ -108,7 +108,7 @@
     actions.reset(flow.id(), acknowledged);
   }
 
-  /** Gives back the openings that the target has not responded within the response timeout. */
+  /** Gives back the openings that the target has not responded to within the response timeout. */
   void giveBackOverdueOpenings(long nowMs) {
     for (AgentFlow flow = openings.pollOverdue(nowMs);
         flow != null;
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Gives back an opening that the target has not targetDataSeen; a late response is dropped. */
+  /** Gives back an opening that the target has not responded to; a late response is dropped. */
   void giveBackOpening(AgentFlow flow, byte[] opening, GiveBackReason reason, long nowMs) {
     flow.withdraw();
     int balancerAddress = flow.balancerAddress();
--- a/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
@@ -27,7 +27,7 @@
   /**
    * Applies a balancer's report; returns false and ignores it if a newer one was applied before.
    */
-  boolean onReport(TargetReport report, long nowMs) {
+  boolean update(TargetReport report, long nowMs) {
     if (!admission.update(report, nowMs)) {
       return false;
     }
--- a/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
+++ b/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
@@ -48,14 +48,16 @@
   public synchronized boolean onTargetReport(TargetReport report, long nowMs) {
     TargetPhase phaseBefore = target.admission().phase();
     boolean evacuatedBefore = target.admission().isEvacuated();
-    if (!target.onReport(report, nowMs)) {
+    if (!target.update(report, nowMs)) {
       return false;
     }
     flows.requests().setCapacity(report.capacity());
     return phaseBefore != report.phase() || evacuatedBefore != report.evacuated();
   }
 
-  /** Returns the phase of the target according to the newest report. */
+  /**
+   * Returns the last reported phase of the target; a draining one is not ready before it restarts.
+   */
   public synchronized TargetPhase phase() {
     return target.admission().phase();
   }
@@ -128,14 +130,14 @@
     targetSegments.onTargetSegment(segment, datagram, nowMs);
   }
 
-  /** Returns the answer to a balancer's query whether the target holds a flow. */
+  /** Returns the result of a balancer's query whether the target holds a flow. */
   public synchronized FlowKnowledge onQuery(FlowId id, long nowMs) {
     AgentFlow flow = flows.get(id);
     if (flow == null) {
-      return answerForUnknownFlow(nowMs);
+      return resultForUnknownFlow(nowMs);
     }
     return switch (flow.stage()) {
-      case OFFERED -> answerForUnknownFlow(nowMs);
+      case OFFERED -> resultForUnknownFlow(nowMs);
       case LOST -> FlowKnowledge.LOST;
       case WITHDRAWN -> FlowKnowledge.NOT_HELD;
       case OPEN -> target.hasEnded() ? FlowKnowledge.LOST : FlowKnowledge.HELD;
@@ -143,7 +145,7 @@
     };
   }
 
-  private FlowKnowledge answerForUnknownFlow(long nowMs) {
+  private FlowKnowledge resultForUnknownFlow(long nowMs) {
     if (flows.isAuthoritative(nowMs) || target.hasEnded()) {
       return FlowKnowledge.NOT_HELD;
     }
