--- a/core/src/main/java/io/moorstage/core/agent/TargetLiveness.java
+++ b/core/src/main/java/io/moorstage/core/agent/TargetLiveness.java
@@ -5,7 +5,7 @@
  * Guarded by the lock of {@link FlowAgent}.
  *
  * <p>Without these checks, the flows of a target that has ended run into their clients' timeouts of
- * several seconds, and an agent that stops does not know whether its target still holds flows.
+ * several seconds, and an agent that stops cannot determine whether its target still holds flows.
  *
  * <p>A check opens a connection to the target's own port and closes it. Checks are made while a
  * response of the target is outstanding for longer than usual, and when the agent stops. The
