--- a/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
@@ -6,7 +6,7 @@
 import io.moorstage.core.log.DecisionLog;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.settings.ForwardingPolicy;
-import io.moorstage.core.settings.MemorySettings;
+import io.moorstage.core.settings.RetentionSettings;
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -23,7 +23,7 @@
   private final AgentTarget target;
   private final AgentActions actions;
   private final DecisionLog log;
-  private final MemorySettings memory;
+  private final RetentionSettings retention;
   private final long startedAtMs;
   private final Map<FlowId, AgentFlow> flows = new HashMap<>();
   private final PendingOpenings openings;
@@ -38,7 +38,7 @@
     this.target = target;
     this.actions = actions;
     this.log = log;
-    this.memory = policy.memory();
+    this.retention = policy.retention();
     this.startedAtMs = nowMs;
     this.openings = new PendingOpenings(policy.opening().answerTimeoutMs());
     this.requests = new RequestQueue(policy, this::deliver);
@@ -78,7 +78,7 @@
    * flow, so its target holds no flow that the agent has no entry for.
    */
   boolean isAuthoritative(long nowMs) {
-    return nowMs - startedAtMs > memory.flowMs();
+    return nowMs - startedAtMs > retention.flowMs();
   }
 
   /** Delivers a segment that the target has to respond to. */
@@ -131,7 +131,7 @@
   void sweep(long nowMs) {
     for (Iterator<AgentFlow> iterator = flows.values().iterator(); iterator.hasNext(); ) {
       AgentFlow flow = iterator.next();
-      int retentionMs = flow.isClosed() ? memory.closedFlowMs() : memory.flowMs();
+      int retentionMs = flow.isClosed() ? retention.closedFlowMs() : retention.flowMs();
       if (nowMs - flow.lastUsedMs() > retentionMs) {
         requests.drop(flow, nowMs);
         iterator.remove();
--- a/core/src/main/java/io/moorstage/core/agent/RequestGate.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestGate.java
@@ -49,8 +49,8 @@
   RequestGate(ForwardingPolicy policy, int capacity) {
     this.servesNewestFirst = policy.uses(Mechanism.NEWEST_FIRST);
     this.longWaitMs =
-        policy.uses(Mechanism.LONG_WAIT_TURNS) ? policy.requests().turnMs() : Integer.MAX_VALUE;
-    this.maxWaitMs = policy.requests().waitMs();
+        policy.uses(Mechanism.LONG_WAIT_TURNS) ? policy.requests().longWaitMs() : Integer.MAX_VALUE;
+    this.maxWaitMs = policy.requests().maxWaitMs();
     this.capacity = capacity;
   }
 
--- a/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestQueue.java
@@ -44,8 +44,8 @@
 
   RequestQueue(ForwardingPolicy policy, Delivery delivery) {
     this.queueingEnabled = policy.uses(Mechanism.GATE);
-    this.minTimeoutMs = MIN_TIMEOUT_TO_WAIT_RATIO * policy.requests().waitMs();
-    this.staleAfterMs = policy.requests().forgetMs();
+    this.minTimeoutMs = MIN_TIMEOUT_TO_WAIT_RATIO * policy.requests().maxWaitMs();
+    this.staleAfterMs = policy.requests().staleAfterMs();
     this.gate = new RequestGate(policy, 0);
     this.delivery = delivery;
   }
--- a/core/src/main/java/io/moorstage/core/balancer/AgentDirectory.java
+++ b/core/src/main/java/io/moorstage/core/balancer/AgentDirectory.java
@@ -14,10 +14,10 @@
  * Tracks the agents that send beacons to a balancer and those that do not respond to its queries.
  * Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>An agent is active if it has sent a beacon within {@code agentSilenceMs}. An agent that is not
+ * <p>An agent is active if it has sent a beacon within {@code agentTimeoutMs}. An agent that is not
  * active need not be unresponsive, since agents send beacons to few balancers and do not answer
  * each beacon. It is unresponsive if it has left queries unanswered for longer than {@code
- * agentSilenceMs}, or has announced that it stops and has not returned within that time.
+ * agentTimeoutMs}, or has announced that it stops and has not returned within that time.
  */
 final class AgentDirectory {
   /** The assumed capacity, in concurrent requests, of a target that the source does not list. */
@@ -74,7 +74,7 @@
       endedSinceMs.remove(address);
     }
     if (report.stopping()) {
-      // The agent becomes unresponsive unless it returns within agentSilenceMs, as after a restart.
+      // The agent becomes unresponsive unless it returns within agentTimeoutMs, as after a restart.
       recordQuery(address, nowMs);
     }
     return becameActive && !report.stopping();
@@ -107,19 +107,19 @@
     unansweredSinceMs.remove(agentAddress);
   }
 
-  /** Returns whether an agent has sent a beacon within {@code agentSilenceMs}. */
+  /** Returns whether an agent has sent a beacon within {@code agentTimeoutMs}. */
   boolean isActive(int agentAddress, long nowMs) {
     KnownAgent agent = knownAgents.get(agentAddress);
-    return agent != null && nowMs - agent.lastBeaconAtMs() <= policy.search().agentSilenceMs();
+    return agent != null && nowMs - agent.lastBeaconAtMs() <= policy.search().agentTimeoutMs();
   }
 
   /**
-   * Returns whether an agent has left queries unanswered for longer than {@code agentSilenceMs} and
+   * Returns whether an agent has left queries unanswered for longer than {@code agentTimeoutMs} and
    * is not active.
    */
   boolean isUnresponsive(int agentAddress, long nowMs) {
     Long sinceMs = unansweredSinceMs.get(agentAddress);
-    boolean unanswered = sinceMs != null && nowMs - sinceMs > policy.search().agentSilenceMs();
+    boolean unanswered = sinceMs != null && nowMs - sinceMs > policy.search().agentTimeoutMs();
     return unanswered && !isActive(agentAddress, nowMs);
   }
 
@@ -133,11 +133,11 @@
     return knownAgents.values();
   }
 
-  /** Returns how many agents have sent a beacon within {@code agentSilenceMs}. */
+  /** Returns how many agents have sent a beacon within {@code agentTimeoutMs}. */
   int activeCount(long nowMs) {
     int count = 0;
     for (KnownAgent agent : knownAgents.values()) {
-      if (nowMs - agent.lastBeaconAtMs() <= policy.search().agentSilenceMs()) {
+      if (nowMs - agent.lastBeaconAtMs() <= policy.search().agentTimeoutMs()) {
         count++;
       }
     }
@@ -162,7 +162,7 @@
    * goneTargetMs}.
    */
   void sweep(long nowMs) {
-    int retentionMs = policy.memory().goneTargetMs();
+    int retentionMs = policy.retention().goneTargetMs();
     knownAgents.values().removeIf(agent -> nowMs - agent.lastBeaconAtMs() > retentionMs);
     endedSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > retentionMs);
     unansweredSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > retentionMs);
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
@@ -227,7 +227,8 @@
   void sweep(long nowMs) {
     for (Iterator<BalancerFlow> all = flows.values().iterator(); all.hasNext(); ) {
       BalancerFlow flow = all.next();
-      int retentionMs = flow.isClosed() ? policy.memory().closedFlowMs() : policy.memory().flowMs();
+      int retentionMs =
+          flow.isClosed() ? policy.retention().closedFlowMs() : policy.retention().flowMs();
       if (!flow.isSearching() && nowMs - flow.lastUsedMs() > retentionMs) {
         flow.moveTo(null);
         all.remove();
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Returns how many agents have sent a beacon within {@code agentSilenceMs}. */
+  /** Returns how many agents have sent a beacon within {@code agentTimeoutMs}. */
   public synchronized int activeAgentCount(long nowMs) {
     return tables.agents().activeCount(nowMs);
   }
--- a/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
@@ -9,7 +9,7 @@
  * and when. Guarded by the lock of {@link FlowBalancer}.
  *
  * <p>Inputs: the targets that may hold the flow ({@link PossibleHolders}), as of the newest state;
- * and the agents that have not responded to queries for {@code agentSilenceMs}.
+ * and the agents that have not responded to queries for {@code agentTimeoutMs}.
  *
  * <p>The agents of the most likely targets are queried first, and more only if none of them reports
  * the flow: {@value #ROUND_GROWTH_FACTOR} times as many in each round, after {@value
--- a/core/src/main/java/io/moorstage/core/balancer/SearchVerdict.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchVerdict.java
@@ -10,13 +10,14 @@
  * the search and of this balancer, both in milliseconds.
  *
  * <p>No target holds the flow if, for each one, the agent has ruled it out or the target itself has
- * returned a segment, and if the balancer has run for {@code learningMs}, so that it knows all
- * agents. A reset then lets the client retry at once. Otherwise the agents that have not responded
- * are queried again until the search is {@code durationMs} old. Then the search ends without a
- * reset, which could break an open flow, and the client's next retransmission starts a new search.
+ * returned a segment, and if the balancer has run for {@code agentDiscoveryMs}, so that it knows
+ * all agents. A reset then lets the client retry at once. Otherwise the agents that have not
+ * responded are queried again until the search is {@code durationMs} old. Then the search ends
+ * without a reset, which could break an open flow, and the client's next retransmission starts a
+ * new search.
  *
- * <p>The bounds are {@link SearchSettings#learningMs}, {@link SearchSettings#durationMs} and, for
- * the pause before agents are queried again, {@link SearchSettings#pauseMs}.
+ * <p>The bounds are {@link SearchSettings#agentDiscoveryMs}, {@link SearchSettings#durationMs} and,
+ * for the pause before agents are queried again, {@link SearchSettings#pauseMs}.
  */
 enum SearchVerdict {
   /** No target holds the flow. */
@@ -29,7 +30,7 @@
   /** Returns the outcome of a search that has no agent left to query and may make no offer. */
   static SearchVerdict of(
       Search search, SearchSettings settings, long balancerStartedAtMs, long nowMs) {
-    boolean knowsAllAgents = nowMs - balancerStartedAtMs > settings.learningMs();
+    boolean knowsAllAgents = nowMs - balancerStartedAtMs > settings.agentDiscoveryMs();
     boolean heldByNone = !search.hasUnresponsive() && search.candidateCount() == 0;
     if (heldByNone && knowsAllAgents) {
       return HELD_BY_NONE;
--- a/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
+++ b/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
@@ -15,12 +15,12 @@
  * FlowBalancer}.
  *
  * <p>Inputs: the listed targets of the service, as of the newest state; the agents that have sent a
- * beacon within {@code agentSilenceMs}; the evacuations in force; and the time since the balancer's
+ * beacon within {@code agentTimeoutMs}; the evacuations in force; and the time since the balancer's
  * first state, in milliseconds.
  *
- * <p>Within {@code unlistedMs} of the first state, and if the active agents of unlisted targets
- * outnumber the listed ready targets, both kinds are candidates; otherwise only the listed ones
- * are. Unlisted targets in an evacuated zone are excluded.
+ * <p>Within {@code unlistedTargetsMs} of the first state, and if the active agents of unlisted
+ * targets outnumber the listed ready targets, both kinds are candidates; otherwise only the listed
+ * ones are. Unlisted targets in an evacuated zone are excluded.
  *
  * <p>During an outage of the source, the entries of targets that cannot renew them expire, and the
  * source lists the targets one by one when it is available again. A balancer that starts at that
@@ -58,7 +58,7 @@
   @Nullable
   TargetPool candidatesOf(
       String service, @Nullable TargetPool listed, Evacuations evacuations, long nowMs) {
-    boolean recentlyStarted = nowMs - firstStateAtMs <= policy.opening().unlistedMs();
+    boolean recentlyStarted = nowMs - firstStateAtMs <= policy.opening().unlistedTargetsMs();
     if (!recentlyStarted || !includesUnlisted) {
       return listed;
     }
--- a/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
@@ -16,11 +16,11 @@
  * <p>Inputs: the opening segment; the configuration version that an agent has seen in effect, if it
  * returned the opening because this balancer's configuration is older; the time, in milliseconds.
  *
- * <p>An opening that no target has rejected waits for a target, up to {@code waitMs}; then its
- * client is sent a reset. An opening that an agent returned because of an old configuration waits
- * for the newer configuration, up to {@value #CONFIGURATION_WAIT_MS} ms; then it is dropped, and
- * the client's next retransmission opens the flow. At most {@value #MAX_WAITING_OPENINGS} openings
- * of both kinds wait.
+ * <p>An opening that no target has rejected waits for a target, up to {@code targetWaitMs}; then
+ * its client is sent a reset. An opening that an agent returned because of an old configuration
+ * waits for the newer configuration, up to {@value #CONFIGURATION_WAIT_MS} ms; then it is dropped,
+ * and the client's next retransmission opens the flow. At most {@value #MAX_WAITING_OPENINGS}
+ * openings of both kinds wait.
  *
  * <p>After a start or an outage of the source, targets are listed one by one. A short wait then
  * serves the flow, whereas resets would use up the client's retries within milliseconds.
@@ -74,7 +74,7 @@
 
   /** Adds an opening that waits for a target. */
   void addForTarget(Segment segment, ByteBuffer datagram, long nowMs) {
-    long deadlineMs = nowMs + settings.waitMs();
+    long deadlineMs = nowMs + settings.targetWaitMs();
     openings.add(new Opening(segment, Datagrams.copyOf(datagram), NO_VERSION, deadlineMs));
   }
 
--- a/core/src/main/java/io/moorstage/core/settings/ForwardingPolicy.java
+++ b/core/src/main/java/io/moorstage/core/settings/ForwardingPolicy.java
@@ -3,19 +3,19 @@
 import java.util.Set;
 
 /**
- * The times and bounds that forwarding decides by, and the mechanisms that it uses.
+ * The times and limits that forwarding decisions depend on, and the mechanisms in use.
  *
  * @param search the search for the target of an unknown flow
  * @param opening the opening of a new flow
  * @param requests requests that wait for a target
- * @param memory how long nodes remember what has ended
- * @param switchedOff mechanisms that an experiment does without; none in operation
+ * @param retention how long nodes keep flows and targets that are no longer in use
+ * @param switchedOff mechanisms that are switched off for an experiment; empty in operation
  */
 public record ForwardingPolicy(
     SearchSettings search,
     OpeningSettings opening,
     RequestSettings requests,
-    MemorySettings memory,
+    RetentionSettings retention,
     Set<Mechanism> switchedOff) {
 
   /** Values for a deployment whose flows live up to a minute. */
@@ -24,7 +24,7 @@
           SearchSettings.STANDARD,
           OpeningSettings.STANDARD,
           RequestSettings.STANDARD,
-          MemorySettings.STANDARD,
+          RetentionSettings.STANDARD,
           Set.of());
 
   /** Creates a policy. */
@@ -32,13 +32,13 @@
     switchedOff = Set.copyOf(switchedOff);
   }
 
-  /** Returns whether a mechanism is on. */
+  /** Returns whether a mechanism is switched on. */
   public boolean uses(Mechanism mechanism) {
     return !switchedOff.contains(mechanism);
   }
 
-  /** Returns this policy with other mechanisms switched off. */
+  /** Returns a copy of this policy in which exactly the given mechanisms are switched off. */
   public ForwardingPolicy without(Set<Mechanism> mechanisms) {
-    return new ForwardingPolicy(search, opening, requests, memory, mechanisms);
+    return new ForwardingPolicy(search, opening, requests, retention, mechanisms);
   }
 }
--- a/core/src/main/java/io/moorstage/core/settings/Mechanism.java
+++ b/core/src/main/java/io/moorstage/core/settings/Mechanism.java
@@ -3,41 +3,45 @@
 import javax.annotation.Nullable;
 
 /**
- * A mechanism that can be switched off to measure what it is worth. All are on in operation; what
- * each was worth stands in docs/MEASURED-POLICY.md.
+ * A mechanism that can be switched off to measure its effect. All are on in operation; {@code
+ * docs/MEASURED-POLICY.md} states the measured effect of each.
  */
 public enum Mechanism {
   /** A new flow goes to the less loaded of two targets, not just to the highest ranked one. */
   TWO_CHOICES("two-choices"),
-  /** A new flow stays in the balancer's zone as long as a target there has room. */
+  /** A new flow stays in the balancer's zone while a target there has room. */
   OWN_ZONE_FIRST("own-zone-first"),
-  /** Load is what agents report, not just what this balancer has placed. */
+  /**
+   * Load is taken from reports of agents, not just from the flows that this balancer has placed.
+   */
   LOAD_REPORTS("load-reports"),
-  /** A request waits at its agent while the target is at its limit. */
+  /** A request waits at its agent while the target is at its limit of concurrent requests. */
   GATE("gate"),
-  /** Of waiting requests the newest goes first once the queue stands. */
+  /** The newest waiting request goes first while the oldest one has waited too long. */
   NEWEST_FIRST("newest-first"),
-  /** A request that has waited for long gets every other place. */
+  /** Requests that have waited for long get every other place that becomes free. */
   LONG_WAIT_TURNS("long-wait-turns"),
-  /** A silent target gets no new flows for a while. */
+  /** A target that does not answer opening segments in time gets no new flows for a while. */
   SUSPICION("suspicion"),
-  /** A target that breaks off or leaves unanswered several requests gets no new flows. */
+  /** A target that breaks off several requests in a row, or stalls, is ejected from new flows. */
   OUTLIER_DETECTION("outlier-detection"),
-  /** The agent of such a target gives new flows back, besides telling balancers. */
+  /**
+   * The agent of an ejected target rejects new flows, besides reporting the ejection to balancers.
+   */
   OUTLIER_REFUSAL("outlier-refusal"),
-  /** A target that has just started counts as more loaded than it is. */
+  /** A target that has just started is ranked as more loaded than it is. */
   SLOW_START("slow-start"),
-  /** Segments that come before the first state are kept for it. */
+  /** Segments that arrive before the first state are held until it arrives. */
   EARLY_SEGMENTS("early-segments"),
-  /** Agents that the source does not list count as targets after a start. */
+  /** Just after a balancer's start, targets that only their agents report may get new flows. */
   UNLISTED_TARGETS("unlisted-targets"),
-  /** A start takes the state of a peer before it reads the source. */
+  /** A node that starts waits for the state of a peer before it reads the source. */
   PEER_STATE_FIRST("peer-state-first"),
-  /** Questions for flows go together. */
+  /** Queries for flows are batched. */
   GATHERED_QUESTIONS("gathered-questions"),
-  /** What a start needs last waits until the processor is free. */
+  /** The last steps of a start wait until the processor is free. */
   PACED_START("paced-start"),
-  /** A balancer that is cut off answers its readiness check in the negative. */
+  /** A balancer that is isolated from agents and other balancers fails its readiness check. */
   ISOLATION("isolation"),
   /** One balancer of a zone reads the source for the others. */
   SOURCE_READERS("source-readers");
@@ -53,7 +57,7 @@
     return code;
   }
 
-  /** Returns the mechanism of a name in settings, or null if there is none. */
+  /** Returns the mechanism with a name in settings, or null if there is none. */
   @Nullable
   public static Mechanism ofCode(String code) {
     for (Mechanism mechanism : values()) {
--- a/core/src/main/java/io/moorstage/core/settings/OpeningSettings.java
+++ b/core/src/main/java/io/moorstage/core/settings/OpeningSettings.java
@@ -3,34 +3,39 @@
 /**
  * Times of the opening of a new flow.
  *
- * @param waitMs how long a new flow waits at a balancer while its service has no target
- * @param unlistedMs for how long after its first state a balancer takes agents that the source does
- *     not list for targets, where those make up most of a service
- * @param answerTimeoutMs after how long without an answer to an opening segment a target counts as
- *     silent
- * @param suspicionMs for how long a silent or unfit target gets no new flow
+ * @param targetWaitMs how long a new flow waits at a balancer while its service has no target, in
+ *     milliseconds
+ * @param unlistedTargetsMs for how long after its first state a balancer also considers targets
+ *     that the source does not list but whose agents send beacons, in milliseconds; it does so for
+ *     services where they outnumber the listed ready targets
+ * @param answerTimeoutMs time-out of a target's answer to an opening segment, in milliseconds
+ * @param suspicionMs for how long a target gets no new flows after it has timed out, been ejected
+ *     or rejected a flow, in milliseconds
  */
-public record OpeningSettings(int waitMs, int unlistedMs, int answerTimeoutMs, int suspicionMs) {
+public record OpeningSettings(
+    int targetWaitMs, int unlistedTargetsMs, int answerTimeoutMs, int suspicionMs) {
 
   /** Between the client's copies after 200 and 600 ms, so that one wait covers the first two. */
-  private static final int WAIT_MS = 400;
+  private static final int TARGET_WAIT_MS = 400;
 
   /**
-   * A source that was down lists targets again within about 2 s of its return, and a balancer has
-   * its first state some 0.5 s after that at the soonest. Without the rule a day on which all
-   * processes are killed earned 0.026 less of its credit (one play against the mean of three).
+   * A source that was down lists targets again within about 2 s of its recovery, and a balancer has
+   * its first state no sooner than about 0.5 s after that recovery. Without this rule, a simulated
+   * day on which all processes are killed scored 0.026 lower (one run, compared with the mean of
+   * three).
    */
-  private static final int UNLISTED_MS = 1_500;
+  private static final int UNLISTED_TARGETS_MS = 1_500;
 
   /**
-   * Well above a round trip on the target's machine, and below the client's first copy (200 ms).
+   * Well above a round trip on the target's machine, and below the 200 ms after which the client
+   * sends its first copy.
    */
   private static final int ANSWER_TIMEOUT_MS = 80;
 
-  /** Two beacons of an agent: it reports in time whether its target is still unfit. */
+  /** Two beacon periods, so that an agent's next report of a still ejected target is in time. */
   private static final int SUSPICION_MS = 1_000;
 
-  /** Values for clients that repeat an opening after 200 and 600 ms. */
+  /** Values for clients that repeat an opening segment after 200 and 600 ms. */
   public static final OpeningSettings STANDARD =
-      new OpeningSettings(WAIT_MS, UNLISTED_MS, ANSWER_TIMEOUT_MS, SUSPICION_MS);
+      new OpeningSettings(TARGET_WAIT_MS, UNLISTED_TARGETS_MS, ANSWER_TIMEOUT_MS, SUSPICION_MS);
 }
--- a/core/src/main/java/io/moorstage/core/settings/RequestSettings.java
+++ b/core/src/main/java/io/moorstage/core/settings/RequestSettings.java
@@ -1,26 +1,29 @@
 package io.moorstage.core.settings;
 
 /**
- * Times of requests that wait at an agent for a target that is at its limit.
+ * Times of requests that wait at an agent while its target is at its limit of concurrent requests.
  *
- * @param turnMs how long a request waits before it gets a turn before newer ones
- * @param waitMs how long a request waits at most; then the target decides
- * @param forgetMs after how long without an answer a request no longer counts as in progress
+ * @param longWaitMs how long a request waits before it may be sent ahead of newer ones, in
+ *     milliseconds
+ * @param maxWaitMs the longest wait, in milliseconds; after it the request is delivered even if the
+ *     target is at its limit
+ * @param staleAfterMs how long an unanswered request counts as in progress, in milliseconds
  */
-public record RequestSettings(int turnMs, int waitMs, int forgetMs) {
+public record RequestSettings(int longWaitMs, int maxWaitMs, int staleAfterMs) {
 
-  /** Not measured; chosen so that a request that gets its turn may still be served in time. */
-  private static final int TURN_MS = 350;
+  /** A request that is sent after this wait can still be served before its client times out. */
+  private static final int LONG_WAIT_MS = 350;
 
   /**
-   * Routes whose time-out is at least twice as long may wait at all. Where time was shorter,
-   * requests that had waited were given up by their clients and done in vain.
+   * Requests wait only on routes whose time-out is at least twice as long. With shorter time-outs,
+   * clients had given up on requests that waited, and the target processed these in vain.
    */
-  private static final int WAIT_MS = 900;
+  private static final int MAX_WAIT_MS = 900;
 
-  /** As long as the longest wait: a request that holds its place for longer starves the queue. */
-  private static final int FORGET_MS = WAIT_MS;
+  /** Equal to the longest wait: a request that occupied its place longer would starve the queue. */
+  private static final int STALE_AFTER_MS = MAX_WAIT_MS;
 
-  /** Values for requests that take some 10 to 100 ms. */
-  public static final RequestSettings STANDARD = new RequestSettings(TURN_MS, WAIT_MS, FORGET_MS);
+  /** Values for requests that take about 10 to 100 ms. */
+  public static final RequestSettings STANDARD =
+      new RequestSettings(LONG_WAIT_MS, MAX_WAIT_MS, STALE_AFTER_MS);
 }
--- a/core/src/main/java/io/moorstage/core/settings/SearchSettings.java
+++ b/core/src/main/java/io/moorstage/core/settings/SearchSettings.java
@@ -1,17 +1,18 @@
 package io.moorstage.core.settings;
 
 /**
- * Times and bounds of the search for the target of a flow that a balancer does not know.
+ * Times and limits of the search for the target of a flow that a balancer does not know.
  *
- * @param answerTimeoutMs how long a balancer waits for answers to its questions
- * @param durationMs how long a search goes on while agents do not answer
- * @param pauseMs how long a search rests when nobody is left to ask
- * @param offerTimeoutMs how long a balancer waits for a target to return a segment offered to it
- * @param maxHeldSegments segments of one flow that are held while it is searched for
- * @param learningMs for how long a balancer that has started hears of agents before it takes their
- *     answers for complete
- * @param agentSilenceMs after how long without a beacon or an answer an agent's machine counts as
- *     away, so that no search waits for it
+ * @param answerTimeoutMs how long a balancer waits for responses to its queries, in milliseconds
+ * @param durationMs how long a search continues while agents do not respond, in milliseconds
+ * @param pauseMs how long a search waits before it queries agents again, in milliseconds
+ * @param offerTimeoutMs how long a balancer waits for a target to return an offered segment, in
+ *     milliseconds; a target that has not returned it by then counts as the flow's holder
+ * @param maxHeldSegments the most segments of one flow that are held during its search
+ * @param agentDiscoveryMs how long a balancer must have run before it assumes that it knows all
+ *     agents, in milliseconds
+ * @param agentTimeoutMs how long an agent may leave queries unanswered, and send no beacon, before
+ *     it counts as unavailable and searches no longer wait for it, in milliseconds
  */
 public record SearchSettings(
     int answerTimeoutMs,
@@ -19,31 +20,36 @@
     int pauseMs,
     int offerTimeoutMs,
     int maxHeldSegments,
-    int learningMs,
-    int agentSilenceMs) {
+    int agentDiscoveryMs,
+    int agentTimeoutMs) {
 
-  /** A few round trips between zones (some 3 ms) and a tick of 20 ms at each end; not measured. */
+  /** A few round trips between zones (about 3 ms) and a tick of 20 ms at each end. */
   private static final int ANSWER_TIMEOUT_MS = 60;
 
-  /** Until a client's third copy, sent after 200, 600 and 1,400 ms, begins a search of its own. */
+  /**
+   * Until the client's third copy starts a search of its own: the client repeats a segment after
+   * 200, 600 and 1,400 ms.
+   */
   private static final int DURATION_MS = 1_400;
 
-  /** Not measured; chosen so that a search asks again some ten times before it ends. */
+  /** Allows a search to query agents about ten times before it ends. */
   private static final int PAUSE_MS = 150;
 
-  /** A target returns at once what it does not hold: a round trip and a tick of 20 ms. */
+  /** A round trip and a tick of 20 ms: a target immediately returns what it does not hold. */
   private static final int OFFER_TIMEOUT_MS = 30;
 
-  /** Not measured; chosen so that a request's segments and its copies within the search fit. */
+  /** Enough for a request's segments and the copies that arrive during the search. */
   private static final int MAX_HELD_SEGMENTS = 4;
 
-  /** Two beacons of an agent, 500 ms apart, and 200 ms for the processor of a start. */
-  private static final int LEARNING_MS = 1_200;
+  /** Two beacon periods of 500 ms, and 200 ms for a processor that is busy with the start. */
+  private static final int AGENT_DISCOVERY_MS = 1_200;
 
-  /** Three beacons, 500 ms apart, may be lost in a row, and the fourth be 300 ms late. */
-  private static final int AGENT_SILENCE_MS = 1_800;
+  /** Three beacons, 500 ms apart, may be lost in a row, and the fourth may be 300 ms late. */
+  private static final int AGENT_TIMEOUT_MS = 1_800;
 
-  /** Values for flows whose clients repeat a segment after 200 ms, and then after twice as long. */
+  /**
+   * Values for flows whose clients repeat a segment after 200 ms and double the interval each time.
+   */
   public static final SearchSettings STANDARD =
       new SearchSettings(
           ANSWER_TIMEOUT_MS,
@@ -51,6 +57,6 @@
           PAUSE_MS,
           OFFER_TIMEOUT_MS,
           MAX_HELD_SEGMENTS,
-          LEARNING_MS,
-          AGENT_SILENCE_MS);
+          AGENT_DISCOVERY_MS,
+          AGENT_TIMEOUT_MS);
 }
--- a/core/src/main/java/io/moorstage/core/settings/package-info.java
+++ b/core/src/main/java/io/moorstage/core/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The times, bounds and weights that decisions go by, and the switches of mechanisms that an
- * experiment can do without.
+ * The times and limits that forwarding decisions depend on, and the switches of mechanisms that an
+ * experiment can switch off.
  *
- * <p>Owns no state: values are immutable and given to whatever decides when it is made.
+ * <p>Holds no mutable state: values are immutable and are passed to their users on construction.
  */
 package io.moorstage.core.settings;
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
@@ -129,7 +129,7 @@
 
   @Test
   void agentThatHasRunForLongReportsAnUnknownFlowAsNotHeld() {
-    nowMs = Fleet.POLICY.memory().flowMs() + 1;
+    nowMs = Fleet.POLICY.retention().flowMs() + 1;
     forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
@@ -207,7 +207,7 @@
     fillTarget();
     Segment data = Fleet.data(Fleet.flow(60), 101, 10);
     forward(data);
-    nowMs += Fleet.POLICY.requests().waitMs();
+    nowMs += Fleet.POLICY.requests().maxWaitMs();
     agent.onTick(nowMs);
     assertThat(actions.delivered).containsExactly(data.toString());
   }
@@ -221,7 +221,7 @@
       openFlow(port);
       forward(Fleet.data(Fleet.flow(port), 101, 10));
     }
-    nowMs += Fleet.POLICY.requests().turnMs();
+    nowMs += Fleet.POLICY.requests().longWaitMs();
     openFlow(70);
     openFlow(71);
     actions.delivered.clear();
@@ -294,7 +294,7 @@
     openFlow(1);
     forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(agent.busyFlows()).isEqualTo(1);
-    nowMs += Fleet.POLICY.requests().forgetMs();
+    nowMs += Fleet.POLICY.requests().staleAfterMs();
     agent.onTick(nowMs);
     assertThat(agent.busyFlows()).isEqualTo(0);
   }
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -258,7 +258,7 @@
   @Test
   void balancerThatHasRunForAWhileUsesNoUnlistedTarget() {
     updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
-    nowMs += Fleet.POLICY.opening().unlistedMs() + 1;
+    nowMs += Fleet.POLICY.opening().unlistedTargetsMs() + 1;
     reportAgents(A, B, C);
     for (int port = 1; port <= 100; port++) {
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
@@ -362,7 +362,7 @@
   void newFlowWithoutATargetIsResetWhenTheWaitExpires() {
     updateState(Fleet.state(5));
     sendClientSegment(Fleet.open(Fleet.flow(1), 0));
-    nowMs += Fleet.POLICY.opening().waitMs();
+    nowMs += Fleet.POLICY.opening().targetWaitMs();
     balancer.onTick(nowMs);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
@@ -544,9 +544,9 @@
   void idleFlowsAreEvicted() {
     updateState(threeTargets());
     sendClientSegment(Fleet.open(Fleet.flow(1), 0));
-    balancer.onSweep(nowMs + Fleet.POLICY.memory().flowMs());
+    balancer.onSweep(nowMs + Fleet.POLICY.retention().flowMs());
     assertThat(balancer.flowCount()).isEqualTo(1);
-    balancer.onSweep(nowMs + Fleet.POLICY.memory().flowMs() + 1);
+    balancer.onSweep(nowMs + Fleet.POLICY.retention().flowMs() + 1);
     assertThat(balancer.flowCount()).isEqualTo(0);
   }
 }
--- a/core/src/test/java/io/moorstage/core/balancer/SearchVerdictTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/SearchVerdictTest.java
@@ -12,7 +12,8 @@
 class SearchVerdictTest {
   private static final SearchSettings SETTINGS = Fleet.POLICY.search();
   private static final long BALANCER_STARTED_AT_MS = 10_000;
-  private static final long AGENTS_KNOWN_AT_MS = BALANCER_STARTED_AT_MS + SETTINGS.learningMs() + 1;
+  private static final long AGENTS_KNOWN_AT_MS =
+      BALANCER_STARTED_AT_MS + SETTINGS.agentDiscoveryMs() + 1;
 
   private final TargetSlot target =
       new TargetSlot(Fleet.target(0x0A010010, TargetPhase.READY, 1), 0);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -84,7 +84,7 @@
     clientPort = new UdpPort(settings.clientEndpoint(), log);
     peerPort = new UdpPort(Endpoint.of(settings.address(), settings.peerPort()), log);
     balancers = new PeerDirectory(settings.address(), settings.zone());
-    keeper = new StateKeeper(policy.memory().goneTargetMs(), this::onState);
+    keeper = new StateKeeper(policy.retention().goneTargetMs(), this::onState);
     changes = new StateChangeLog(log);
     SourceReaders readers = new SourceReaders(settings.address(), settings.zone());
     SourceFollower.Conditions conditions =
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/BalancerBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/BalancerBeacons.java
@@ -39,7 +39,7 @@
 
   /**
    * Time without a beacon after which a balancer, or all agents together, count as silent, in
-   * milliseconds: the last two are lost. A single agent is given one more ({@code agentSilenceMs}
+   * milliseconds: the last two are lost. A single agent is given one more ({@code agentTimeoutMs}
    * of the policy), since its silence decides about open flows.
    */
   public static final int SILENT_AFTER_MS = 2 * PERIOD_MS + LATE_MS;
--- a/forwarding/src/test/java/io/moorstage/forwarding/daemon/AgreedTimesTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/daemon/AgreedTimesTest.java
@@ -11,7 +11,7 @@
 
   @Test
   void agentMayLoseThreeBeaconsBeforeItsMachineCountsAsAway() {
-    assertThat(ForwardingPolicy.STANDARD.search().agentSilenceMs())
+    assertThat(ForwardingPolicy.STANDARD.search().agentTimeoutMs())
         .isEqualTo(3 * BalancerBeacons.PERIOD_MS + BalancerBeacons.LATE_MS);
   }
 
