--- a/core/src/test/java/io/moorstage/core/Fleet.java
+++ b/core/src/test/java/io/moorstage/core/Fleet.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Flows, segments and states for tests, and actions that are written down. */
+/** Builds flows, segments and states for tests, and records the actions of balancers and agents. */
 public final class Fleet {
   public static final String SERVICE = "tables";
   public static final String ZONE = "z";
@@ -37,22 +37,26 @@
     return new FlowId(0x64400007, clientPort, SERVICE_ADDRESS, PORT);
   }
 
-  /** Returns a copy of the segment that opens a flow. */
+  /**
+   * Returns a segment that opens a flow.
+   *
+   * @param copy which copy of the opening segment it is, counted from 0
+   */
   public static Segment open(FlowId flow, int copy) {
     return new Segment(flow, Segment.Kind.OPEN, copy, false, 100, copy, 0);
   }
 
-  /** Returns a segment with data from the client. */
+  /** Returns a data segment from the client. */
   public static Segment data(FlowId flow, int sequence, int bytes) {
     return new Segment(flow, Segment.Kind.DATA, 0, false, sequence, 7, bytes);
   }
 
-  /** Returns the segment with which the client closes. */
+  /** Returns a segment that closes the client's direction of a flow. */
   public static Segment close(FlowId flow, int sequence) {
     return new Segment(flow, Segment.Kind.CLOSE, 0, false, sequence, 7, 0);
   }
 
-  /** Returns a segment as the target returns it. */
+  /** Returns a client's segment as its target returns it. */
   public static Segment returned(Segment segment) {
     return new Segment(
         segment.flow(),
@@ -64,33 +68,33 @@
         segment.dataBytes());
   }
 
-  /** Returns the segment with which the target accepts a flow. */
+  /** Returns the segment with which a target accepts a flow. */
   public static Segment accepted(FlowId flow) {
     return new Segment(flow, Segment.Kind.OPEN_ACCEPTED, 0, false, 1, 101, 0);
   }
 
-  /** Returns a datagram that names its segment. */
+  /** Returns a datagram that contains the text of its segment. */
   public static ByteBuffer bytes(Segment segment) {
     return ByteBuffer.wrap(segment.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** Returns a target of the fleet's service and zone. */
+  /** Returns a target of {@link #SERVICE} in {@link #ZONE}, first listed at revision 1. */
   public static TargetRecord target(int address, TargetPhase phase, long revision) {
     return new TargetRecord("t" + address, SERVICE, address, ZONE, 2, phase, 0, 1, revision);
   }
 
-  /** A start of a target that was listed at a revision and not changed since. */
+  /** Returns a ready target that was first listed at a revision and has not changed since. */
   public static TargetRecord listed(String id, String service, int address, long revision) {
     return new TargetRecord(
         id, service, address, ZONE, 2, TargetPhase.READY, 0, revision, revision);
   }
 
-  /** Returns a state with the first configuration. */
+  /** Returns a state with version 1 of the configuration. */
   public static FleetState state(long revision, TargetRecord... targets) {
     return state(revision, 1, targets);
   }
 
-  /** Returns a state with a configuration of a version. */
+  /** Returns a state with a version of the configuration, which has one route. */
   public static FleetState state(long revision, long version, TargetRecord... targets) {
     return state(revision, version, List.of(routeTo(SERVICE)), List.of(targets));
   }
@@ -105,17 +109,17 @@
         Evacuations.NONE);
   }
 
-  /** Returns the route of all flows here, to one service. */
+  /** Returns a route of the flows of {@link #flow} to one service. */
   public static ForwardingRoute routeTo(String service) {
     return routeTo(new WeightedService(service, 1));
   }
 
-  /** Returns the route of all flows here, to services by weight. */
+  /** Returns a route of the flows of {@link #flow} to services by weight. */
   public static ForwardingRoute routeTo(WeightedService... services) {
     return new ForwardingRoute(SERVICE_ADDRESS, PORT, 3_000, true, List.of(services));
   }
 
-  /** Returns a state with zones evacuated at its revision. */
+  /** Returns a copy of a state in which zones are evacuated, as of its revision. */
   public static FleetState evacuated(FleetState state, String... zones) {
     List<ZoneEvacuation> evacuations = new ArrayList<>();
     for (String zone : zones) {
@@ -125,34 +129,38 @@
         state.revision(), state.configuration(), state.targets(), Evacuations.of(evacuations));
   }
 
-  /** Returns a ready target of a zone. */
+  /** Returns a ready target of {@link #SERVICE} in a zone. */
   public static TargetRecord targetIn(String zone, int address) {
     return new TargetRecord("t" + address, SERVICE, address, zone, 2, TargetPhase.READY, 0, 1, 1);
   }
 
-  /** Returns what an agent of the fleet's service and zone tells. */
+  /** Returns the report of an idle agent of {@link #SERVICE} in {@link #ZONE}. */
   public static AgentReport agent(int address) {
     return new AgentReport(address, SERVICE, ZONE, 0, false, false, false);
   }
 
-  /** What a balancer did, one text each. */
-  public static final class BalancerRecord implements BalancerActions {
-    public final List<String> done = new ArrayList<>();
+  /** Records the actions of a balancer. */
+  public static final class RecordingBalancerActions implements BalancerActions {
+    /** Names of the calls of flush and queryBalancers. */
+    public final List<String> otherCalls = new ArrayList<>();
+
     public final List<Integer> forwardedTo = new ArrayList<>();
 
-    /** The service that each forwarded segment was meant for. */
+    /** The service in the terms of each forwarded segment. */
     public final List<String> forwardedFor = new ArrayList<>();
 
     public final List<Integer> asked = new ArrayList<>();
     public final List<FlowId> reset = new ArrayList<>();
     public final List<Integer> caughtUpFrom = new ArrayList<>();
-    public int insisted;
+
+    /** Number of forwarded segments whose terms override an ejection. */
+    public int ejectionOverrides;
 
     @Override
     public void forward(int agentAddress, ForwardTerms terms, ByteBuffer datagram) {
       forwardedTo.add(agentAddress);
       forwardedFor.add(terms.service());
-      insisted += terms.insists() ? 1 : 0;
+      ejectionOverrides += terms.insists() ? 1 : 0;
     }
 
     @Override
@@ -162,12 +170,12 @@
 
     @Override
     public void flush() {
-      done.add("flush");
+      otherCalls.add("flush");
     }
 
     @Override
     public void queryBalancers(FlowId flow) {
-      done.add("ask-balancers");
+      otherCalls.add("ask-balancers");
     }
 
     @Override
@@ -180,14 +188,14 @@
       caughtUpFrom.add(peerAddress);
     }
 
-    /** Returns the address of the agent that got the last segment. */
-    public int last() {
+    /** Returns the address of the agent to which the last segment was forwarded. */
+    public int lastForwardedTo() {
       return forwardedTo.get(forwardedTo.size() - 1);
     }
   }
 
-  /** What an agent did. */
-  public static final class AgentRecord implements AgentActions {
+  /** Records the actions of an agent. */
+  public static final class RecordingAgentActions implements AgentActions {
     public final List<String> delivered = new ArrayList<>();
     public final List<FlowId> toClients = new ArrayList<>();
     public final List<GiveBackReason> givenBack = new ArrayList<>();
--- a/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
+++ b/core/src/test/java/io/moorstage/core/agent/AgentTestBase.java
@@ -14,7 +14,7 @@
   static final int TIMEOUT_MS = 3_000;
   static final int COLD_START_MS = 2_000;
 
-  final Fleet.AgentRecord actions = new Fleet.AgentRecord();
+  final Fleet.RecordingAgentActions actions = new Fleet.RecordingAgentActions();
   final FlowAgent agent = new FlowAgent(Fleet.POLICY, Fleet.SERVICE, actions, DecisionLog.NONE, 0);
   long nowMs = 1_000;
   int coldOpeningsPerS;
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -24,7 +24,7 @@
   private static final int OTHER_BALANCER = 0x0A010002;
   private static final int LONG_AFTER_START_MS = 100_000;
 
-  private final Fleet.BalancerRecord actions = new Fleet.BalancerRecord();
+  private final Fleet.RecordingBalancerActions actions = new Fleet.RecordingBalancerActions();
   private FlowBalancer balancer;
   private long nowMs = LONG_AFTER_START_MS;
 
@@ -99,10 +99,10 @@
     updateState(Fleet.evacuated(both, Fleet.ZONE));
     for (int port = 2; port <= 50; port++) {
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
-      assertThat(actions.last()).isEqualTo(B);
+      assertThat(actions.lastForwardedTo()).isEqualTo(B);
     }
     sendClientSegment(Fleet.data(Fleet.flow(1), 111, 10));
-    assertThat(actions.last()).isEqualTo(A);
+    assertThat(actions.lastForwardedTo()).isEqualTo(A);
   }
 
   @Test
@@ -142,9 +142,9 @@
     updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    assertThat(actions.last()).isEqualTo(A);
+    assertThat(actions.lastForwardedTo()).isEqualTo(A);
     returnSegment(A, GiveBackReason.EVACUATED, 1, open);
-    assertThat(actions.last()).isEqualTo(B);
+    assertThat(actions.lastForwardedTo()).isEqualTo(B);
   }
 
   private void reportEjected(int... agents) {
@@ -162,7 +162,7 @@
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).doesNotContain(A);
-    assertThat(actions.insisted).isEqualTo(0);
+    assertThat(actions.ejectionOverrides).isEqualTo(0);
   }
 
   @Test
@@ -173,7 +173,7 @@
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
     }
     assertThat(actions.forwardedTo).containsAtLeast(A, B, C);
-    assertThat(actions.insisted).isEqualTo(50);
+    assertThat(actions.ejectionOverrides).isEqualTo(50);
   }
 
   @Test
@@ -184,12 +184,12 @@
     returnSegment(A, GiveBackReason.COLD, 1, open);
     for (int port = 2; port <= 20; port++) {
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
-      assertThat(actions.last()).isEqualTo(B);
+      assertThat(actions.lastForwardedTo()).isEqualTo(B);
     }
     nowMs += 1_000;
     reportAgents(A, B);
     sendClientSegment(Fleet.open(Fleet.flow(21), 0));
-    assertThat(actions.last()).isEqualTo(A);
+    assertThat(actions.lastForwardedTo()).isEqualTo(A);
   }
 
   @Test
@@ -209,10 +209,10 @@
     updateState(threeTargets());
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     returnSegment(first, GiveBackReason.LEAVING, 1, open);
     assertThat(actions.forwardedTo).hasSize(2);
-    assertThat(actions.last()).isNotEqualTo(first);
+    assertThat(actions.lastForwardedTo()).isNotEqualTo(first);
   }
 
   @Test
@@ -305,12 +305,12 @@
     reportAgents(B, C);
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     updateState(
         Fleet.state(
             7, Fleet.target(B, TargetPhase.READY, 6), Fleet.target(C, TargetPhase.READY, 7)));
     returnSegment(first, GiveBackReason.FULL, 1, open);
-    assertThat(actions.last()).isNotEqualTo(first);
+    assertThat(actions.lastForwardedTo()).isNotEqualTo(first);
   }
 
   @Test
@@ -322,9 +322,9 @@
     updateState(Fleet.state(9, before, now, Fleet.target(B, TargetPhase.READY, 2)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     returnSegment(first, GiveBackReason.FULL, 1, open);
-    returnSegment(actions.last(), GiveBackReason.FULL, 1, open);
+    returnSegment(actions.lastForwardedTo(), GiveBackReason.FULL, 1, open);
     assertThat(actions.forwardedTo).containsExactly(A, B);
   }
 
@@ -353,7 +353,7 @@
       balancer.onQueryResult(agent, flow, FlowKnowledge.UNKNOWN, agent, nowMs);
     }
     for (int offer = 0; offer < 3; offer++) {
-      returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, segment);
+      returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, segment);
     }
     return List.copyOf(actions.forwardedTo);
   }
@@ -472,10 +472,10 @@
       balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.UNKNOWN, agent, nowMs);
     }
     assertThat(actions.forwardedTo).hasSize(1);
-    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
-    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.forwardedTo).containsExactly(A, B, C);
-    returnSegment(actions.last(), GiveBackReason.NOT_HELD, 1, data);
+    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
@@ -502,7 +502,7 @@
     updateState(threeTargets());
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     returnSegment(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
     assertThat(actions.caughtUpFrom).containsExactly(first);
     assertThat(actions.forwardedTo).hasSize(1);
@@ -514,22 +514,22 @@
   void unansweredOpeningIsSentToAnotherTarget() {
     updateState(threeTargets());
     sendClientSegment(Fleet.open(Fleet.flow(1), 0));
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     nowMs += 200;
     sendClientSegment(Fleet.open(Fleet.flow(1), 1));
-    assertThat(actions.last()).isNotEqualTo(first);
+    assertThat(actions.lastForwardedTo()).isNotEqualTo(first);
   }
 
   @Test
   void retransmittedOpeningIsSentToTheSameTargetIfItsAgentHasReportedSince() {
     updateState(threeTargets());
     sendClientSegment(Fleet.open(Fleet.flow(1), 0));
-    int first = actions.last();
+    int first = actions.lastForwardedTo();
     nowMs += 100;
     reportAgents(A, B, C);
     nowMs += 100;
     sendClientSegment(Fleet.open(Fleet.flow(1), 1));
-    assertThat(actions.last()).isEqualTo(first);
+    assertThat(actions.lastForwardedTo()).isEqualTo(first);
   }
 
   @Test
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
@@ -35,7 +35,7 @@
   /** A target of the route's former service that is not among the flow's most likely ones. */
   private static final int HOLDER = formerByRank().get(TARGETS - 1);
 
-  private final Fleet.BalancerRecord actions = new Fleet.BalancerRecord();
+  private final Fleet.RecordingBalancerActions actions = new Fleet.RecordingBalancerActions();
   private final List<TargetRecord> targets = new ArrayList<>();
   private FleetState state;
   private FlowBalancer balancer;
@@ -164,7 +164,7 @@
     applyRouteMove();
     sendClientData();
     runSearch(FLOW, HOLDER);
-    assertThat(actions.last()).isEqualTo(HOLDER);
+    assertThat(actions.lastForwardedTo()).isEqualTo(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
@@ -222,7 +222,7 @@
     balancer.onState(state, nowMs);
     sendClientData();
     runSearch(FLOW, HOLDER);
-    assertThat(actions.last()).isEqualTo(HOLDER);
+    assertThat(actions.lastForwardedTo()).isEqualTo(HOLDER);
     assertThat(actions.reset).isEmpty();
   }
 
@@ -348,7 +348,7 @@
     applyWeights(0, 1);
     sendClientData();
     runSearch(FLOW, HOLDER);
-    assertThat(actions.last()).isEqualTo(HOLDER);
+    assertThat(actions.lastForwardedTo()).isEqualTo(HOLDER);
     assertThat(actions.forwardedFor).contains(FORMER);
   }
 
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -26,7 +26,7 @@
   private static final int LOW_RANK = 30;
   private static final FlowId FLOW = Fleet.flow(1);
 
-  private final Fleet.BalancerRecord actions = new Fleet.BalancerRecord();
+  private final Fleet.RecordingBalancerActions actions = new Fleet.RecordingBalancerActions();
   private final List<TargetRecord> targets = new ArrayList<>();
   private FlowBalancer balancer;
   private long nowMs = 100_000;
@@ -206,7 +206,7 @@
     returnOffers(holder);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
-    assertThat(actions.last()).isEqualTo(holder);
+    assertThat(actions.lastForwardedTo()).isEqualTo(holder);
     assertThat(actions.reset).isEmpty();
   }
 
@@ -288,10 +288,10 @@
       nowMs += Fleet.POLICY.search().answerTimeoutMs();
       balancer.onTick(nowMs);
     }
-    assertThat(actions.last()).isNotEqualTo(holder);
+    assertThat(actions.lastForwardedTo()).isNotEqualTo(holder);
     balancer.onQueryResult(holder, FLOW, FlowKnowledge.HELD, holder, nowMs);
     sendClientData();
-    assertThat(actions.last()).isEqualTo(holder);
+    assertThat(actions.lastForwardedTo()).isEqualTo(holder);
   }
 
   // Guards against searches that wait for an agent that has stopped together with its target. After
