--- a/core/src/main/java/io/moorstage/core/log/Decision.java
+++ b/core/src/main/java/io/moorstage/core/log/Decision.java
@@ -2,41 +2,41 @@
 
 import java.util.Locale;
 
-/** What balancer and agent decide about flows: the outcomes that are counted and logged. */
+/** A decision of a balancer or an agent about a flow or segment, as counted and logged. */
 public enum Decision {
-  /** A new flow was given to a target. */
+  /** A balancer chose a target for a new flow. */
   PLACED,
-  /** A new flow was given to another target, since the first one refused or was silent. */
+  /** A balancer chose another target for a new flow, since the first rejected it or timed out. */
   PLACED_AGAIN,
-  /** A copy of an opening segment went to the same target again. */
+  /** A balancer forwarded a copy of an opening segment to the same target again. */
   REPEATED,
-  /** A balancer does not know where a flow is and asks. */
+  /** A balancer does not know which target holds a flow, and starts a search for it. */
   ASKED,
-  /** A flow of unknown place was found. */
+  /** A balancer found the target that holds a flow. */
   LOCATED,
-  /** A segment of a flow of unknown place was offered to a target that may hold it. */
+  /** A balancer offered a segment of an unknown flow to a target that may hold the flow. */
   OFFERED,
-  /** Nobody knows a flow; its segments were dropped. */
+  /** A search timed out without finding the target of a flow; the held segments were dropped. */
   NOT_FOUND,
-  /** A flow was reset: its target has lost it. */
+  /** A flow was reset, since no target holds it any more. */
   RESET_LOST,
-  /** A flow was reset: no configuration has a route for it. */
+  /** A new flow was reset, since the current configuration has no route for it. */
   RESET_NO_ROUTE,
-  /** A new flow was reset: no target can take it, and nothing has run. */
+  /** A new flow was reset, since no target accepts it; no request of it was executed. */
   RESET_NO_TARGET,
-  /** A segment without a route was dropped, as the configuration may be old. */
+  /** A segment without a route was dropped without a reset, as the configuration may be stale. */
   DROPPED_NO_ROUTE,
-  /** A new flow waits, as its service has no target now. */
+  /** A new flow waits for a target, since its service has none at present. */
   HELD_FOR_TARGET,
-  /** A new flow waits until this balancer has a newer configuration. */
+  /** A new flow waits until the balancer has a newer configuration. */
   HELD_FOR_CONFIGURATION,
   /** An agent delivered an opening segment to its target. */
   DELIVERED,
-  /** An agent gave a segment back to its balancer. */
+  /** An agent rejected a segment and gave it back to the balancer. */
   GAVE_BACK,
-  /** A target gets no new flow for a while, as the request of a flow has shown. */
+  /** An agent ejected its target from new flows, since requests were broken off or stalled. */
   TARGET_UNFIT,
-  /** A target returned a segment to its agent. */
+  /** A target returned a segment of a flow that its agent has no record of. */
   RETURNED,
   /** A malformed datagram was dropped. */
   DROPPED_MALFORMED;
@@ -46,8 +46,11 @@
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
-  /** Returns whether the decision is a sign of trouble; such lines go before others. */
-  public boolean isTrouble() {
+  /**
+   * Returns whether the decision indicates a fault or overload. Log lines of such decisions have a
+   * budget of their own, so that lines of normal operation don't displace them.
+   */
+  public boolean isAbnormal() {
     return this != PLACED && this != REPEATED && this != DELIVERED && this != LOCATED;
   }
 }
--- a/core/src/main/java/io/moorstage/core/log/DecisionLog.java
+++ b/core/src/main/java/io/moorstage/core/log/DecisionLog.java
@@ -2,19 +2,20 @@
 
 import io.moorstage.core.flow.FlowId;
 
-/** Takes every decision about a flow. Must not block. */
+/** Records decisions about flows. Implementations must not block. */
 public interface DecisionLog {
-  /** Takes nothing. */
+  /** Discards all decisions. */
   DecisionLog NONE = (decision, flow, address, reason, ageMs) -> {};
 
   /**
-   * Takes a decision.
+   * Records a decision.
    *
-   * @param decision what was decided
-   * @param flow the flow
-   * @param address the machine that the decision names, 0 if it names none
-   * @param reason what decided it, a constant text
-   * @param ageMs the age of what decided it, in milliseconds; -1 if it has none
+   * @param decision the decision
+   * @param flow the flow that it concerns
+   * @param address IPv4 address of the machine that it concerns, 0 if there is none
+   * @param reason the reason, a constant that operators can search for
+   * @param ageMs the age of the state, flow or request on which the decision is based, in
+   *     milliseconds; -1 if not applicable
    */
   void decided(Decision decision, FlowId flow, int address, String reason, long ageMs);
 }
--- a/core/src/main/java/io/moorstage/core/log/package-info.java
+++ b/core/src/main/java/io/moorstage/core/log/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decisions that a balancer and an agent log, under the names that log lines and metrics show.
+ * The decisions that balancers and agents log, with their names in log lines and metrics.
  *
- * <p>Owns no state. Module forwarding implements {@link io.moorstage.core.log.DecisionLog}.
+ * <p>Holds no mutable state. Module forwarding implements {@link
+ * io.moorstage.core.log.DecisionLog}.
  */
 package io.moorstage.core.log;
--- a/forwarding/src/main/java/io/moorstage/forwarding/log/EventLog.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/log/EventLog.java
@@ -74,7 +74,7 @@
 
   @Override
   public void decided(Decision decision, FlowId flow, int address, String reason, long ageMs) {
-    if (!takeBudget(decision.isTrouble())) {
+    if (!takeBudget(decision.isAbnormal())) {
       return;
     }
     StringBuilder line = begin(decision.logName()).append(" flow=").append(flow);
