--- a/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentTarget.java
@@ -31,7 +31,7 @@
     if (!admission.update(report, nowMs)) {
       return false;
     }
-    if (incarnation.update(report.startNumber(), report.tookOver())) {
+    if (incarnation.update(report.startNumber(), report.predecessorListedReady())) {
       liveness.markAlive();
       outliers.reset();
     }
--- a/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
+++ b/core/src/main/java/io/moorstage/core/agent/FlowAgent.java
@@ -3,7 +3,7 @@
 import io.moorstage.core.flow.FlowId;
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.DecisionLog;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.ForwardTerms;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
@@ -131,25 +131,25 @@
   }
 
   /** Returns the result of a balancer's query whether the target holds a flow. */
-  public synchronized FlowKnowledge onQuery(FlowId id, long nowMs) {
+  public synchronized FlowQueryResult onQuery(FlowId id, long nowMs) {
     AgentFlow flow = flows.get(id);
     if (flow == null) {
       return resultForUnknownFlow(nowMs);
     }
     return switch (flow.stage()) {
       case OFFERED -> resultForUnknownFlow(nowMs);
-      case LOST -> FlowKnowledge.LOST;
-      case WITHDRAWN -> FlowKnowledge.NOT_HELD;
-      case OPEN -> target.hasEnded() ? FlowKnowledge.LOST : FlowKnowledge.HELD;
-      case OPENING, ACCEPTED -> target.hasEnded() ? FlowKnowledge.NOT_HELD : FlowKnowledge.HELD;
+      case LOST -> FlowQueryResult.LOST;
+      case WITHDRAWN -> FlowQueryResult.NOT_HELD;
+      case OPEN -> target.hasEnded() ? FlowQueryResult.LOST : FlowQueryResult.HELD;
+      case OPENING, ACCEPTED -> target.hasEnded() ? FlowQueryResult.NOT_HELD : FlowQueryResult.HELD;
     };
   }
 
-  private FlowKnowledge resultForUnknownFlow(long nowMs) {
+  private FlowQueryResult resultForUnknownFlow(long nowMs) {
     if (flows.isAuthoritative(nowMs) || target.hasEnded()) {
-      return FlowKnowledge.NOT_HELD;
+      return FlowQueryResult.NOT_HELD;
     }
-    return target.startedAfterAgent() ? FlowKnowledge.UNLIKELY : FlowKnowledge.UNKNOWN;
+    return target.startedAfterAgent() ? FlowQueryResult.UNLIKELY : FlowQueryResult.UNKNOWN;
   }
 
   /** Handles expired timeouts and starts due checks; called every few tens of milliseconds. */
--- a/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
+++ b/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
@@ -119,7 +119,7 @@
   // If most targets of a service are ejected, the cause may be outside the targets; the balancer
   // then overrides the ejection.
   private boolean isRejectedAsOutlier(ForwardTerms terms, long nowMs) {
-    boolean mayReject = rejectsOutliers && !terms.insists() && outliers.isEjected();
+    boolean mayReject = rejectsOutliers && !terms.overridesEjection() && outliers.isEjected();
     return mayReject && !outliers.tryAdmit(terms.repeatable(), nowMs);
   }
 }
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
@@ -139,7 +139,7 @@
     String service = target.record().service();
     boolean isCurrent = known != null && known.configurationVersion() == version;
     if (isCurrent
-        && known.insists() == flow.overridesEjection()
+        && known.overridesEjection() == flow.overridesEjection()
         && known.service().equals(service)) {
       return known;
     }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -5,7 +5,7 @@
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.DecisionLog;
 import io.moorstage.core.message.AgentReport;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.placement.TargetSlot;
 import io.moorstage.core.settings.ForwardingPolicy;
@@ -118,7 +118,7 @@
   private void updateSlot(TargetSlot slot, AgentReport report, long nowMs) {
     slot.recordBusyFlows(report.busyFlows(), nowMs);
     slot.markAgentSeen(nowMs);
-    slot.recordEjection(report.targetUnfit(), policy.opening().suspicionMs(), nowMs);
+    slot.recordEjection(report.targetEjected(), policy.opening().suspicionMs(), nowMs);
     if (report.stopping() || report.targetEnded()) {
       slot.markSuspect(policy.opening().suspicionMs(), nowMs);
     }
@@ -206,7 +206,7 @@
 
   /** Handles the response of an agent or another balancer to a query about a flow. */
   public synchronized void onQueryResult(
-      int peerAddress, FlowId id, FlowKnowledge result, int targetAddress, long nowMs) {
+      int peerAddress, FlowId id, FlowQueryResult result, int targetAddress, long nowMs) {
     locator.onQueryResult(peerAddress, id, result, targetAddress, nowMs);
   }
 
--- a/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
@@ -4,7 +4,7 @@
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.Decision;
 import io.moorstage.core.log.DecisionLog;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.placement.TargetSlot;
 import io.moorstage.core.settings.ForwardingPolicy;
 import io.moorstage.core.settings.SearchSettings;
@@ -146,7 +146,7 @@
 
   /** Handles the response of an agent or another balancer to a query about a flow. */
   void onQueryResult(
-      int peerAddress, FlowId id, FlowKnowledge result, int targetAddress, long nowMs) {
+      int peerAddress, FlowId id, FlowQueryResult result, int targetAddress, long nowMs) {
     tables.agents().recordResponse(peerAddress);
     BalancerFlow flow = tables.flow(id);
     if (flow == null) {
@@ -154,7 +154,7 @@
     }
     Search search = flow.search();
     if (search == null) {
-      if (flow.endedSearch() != null && result == FlowKnowledge.HELD) {
+      if (flow.endedSearch() != null && result == FlowQueryResult.HELD) {
         onHolderReportedLate(flow, targetAddress, nowMs);
       }
       return;
@@ -167,7 +167,7 @@
   }
 
   private void onHolderReported(
-      Search search, FlowKnowledge result, int targetAddress, long nowMs) {
+      Search search, FlowQueryResult result, int targetAddress, long nowMs) {
     BalancerFlow flow = search.flow();
     // Another balancer may name a target that has already returned a segment of the flow here.
     boolean isNonHolder = flow.isNonHolder(targetAddress);
@@ -175,7 +175,7 @@
     if (holder == null) {
       return;
     }
-    boolean held = result == FlowKnowledge.HELD;
+    boolean held = result == FlowQueryResult.HELD;
     if (held || tables.mayHold(flow, holder.record().service())) {
       end(search);
       flow.setHolder(holder, held);
@@ -206,7 +206,8 @@
     log.decided(Decision.LOCATED, flow.id(), targetAddress, "told-late", ageMs);
   }
 
-  private void onAgentResponse(Search search, int agentAddress, FlowKnowledge result, long nowMs) {
+  private void onAgentResponse(
+      Search search, int agentAddress, FlowQueryResult result, long nowMs) {
     TargetSlot slot = search.removePending(agentAddress);
     if (slot == null) {
       return;
--- a/core/src/main/java/io/moorstage/core/balancer/SearchOffers.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchOffers.java
@@ -2,7 +2,7 @@
 
 import io.moorstage.core.log.Decision;
 import io.moorstage.core.log.DecisionLog;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.placement.TargetSlot;
 import io.moorstage.core.settings.SearchSettings;
 
@@ -53,19 +53,19 @@
   }
 
   /** Adds the target of an agent that has responded to the candidates if it may hold the flow. */
-  void addResponse(Search search, TargetSlot slot, FlowKnowledge result) {
+  void addResponse(Search search, TargetSlot slot, FlowQueryResult result) {
     boolean possible = mayHold(search, slot.address(), result);
     if (possible && tables.mayHold(search.flow(), slot.record().service())) {
       search.addCandidate(slot);
     }
   }
 
-  private static boolean mayHold(Search search, int address, FlowKnowledge result) {
-    if (result == FlowKnowledge.UNLIKELY) {
+  private static boolean mayHold(Search search, int address, FlowQueryResult result) {
+    if (result == FlowQueryResult.UNLIKELY) {
       int rank = search.likelihoodRank(address);
       return rank >= 0 && rank < SearchQueries.FIRST_ROUND_SIZE;
     }
-    return result == FlowKnowledge.UNKNOWN;
+    return result == FlowQueryResult.UNKNOWN;
   }
 
   /**
--- a/core/src/main/java/io/moorstage/core/message/AgentReport.java
+++ b/core/src/main/java/io/moorstage/core/message/AgentReport.java
@@ -1,15 +1,16 @@
 package io.moorstage.core.message;
 
 /**
- * What an agent reports to balancers of itself and its target.
+ * The status of an agent and its target, as the agent reports it to balancers.
  *
- * @param address the machine of agent and target
+ * @param address IPv4 address of the machine that runs both the agent and its target
  * @param service the target's service
  * @param zone the agent's zone
- * @param busyFlows flows with a request in progress
- * @param stopping whether the agent is about to end
- * @param targetUnfit whether the target has broken off requests of late, or answers none
- * @param targetEnded whether the target's process has ended, so that it holds no flow any more
+ * @param busyFlows number of flows with a request that is in progress at the target or queued at
+ *     the agent
+ * @param stopping whether the agent is shutting down
+ * @param targetEjected whether the agent has ejected the target from new flows as an outlier
+ * @param targetEnded whether the target's process has ended, so that it holds no flows
  */
 public record AgentReport(
     int address,
@@ -17,5 +18,5 @@
     String zone,
     int busyFlows,
     boolean stopping,
-    boolean targetUnfit,
+    boolean targetEjected,
     boolean targetEnded) {}
--- a/core/src/main/java/io/moorstage/core/message/ForwardTerms.java
+++ b/core/src/main/java/io/moorstage/core/message/ForwardTerms.java
@@ -1,16 +1,16 @@
 package io.moorstage.core.message;
 
 /**
- * What goes to an agent with each segment that a balancer forwards.
+ * The parameters that a balancer sends to an agent with each segment that it forwards.
  *
- * @param service the service that the balancer takes the flow to belong to
- * @param configurationVersion the configuration that the balancer decided by
- * @param timeoutMs how long a request of the flow's route may take; 0 if not known
- * @param coldOpeningsPerS how many new flows a cold target of the service bears in a second; 0 for
- *     no limit
- * @param repeatable whether requests of the flow's route may be repeated
- * @param insists whether the target is to take a new flow although it seems unfit, since most
- *     targets of the service do
+ * @param service the service that the segment is meant for
+ * @param configurationVersion version of the configuration on which the balancer based its decision
+ * @param timeoutMs time-out of requests on the flow's route, in milliseconds; 0 if not known
+ * @param coldOpeningsPerS the most new flows that a cold target of the service may get per second;
+ *     0 for no limit
+ * @param repeatable whether requests on the flow's route may be repeated
+ * @param overridesEjection whether the target must be given a new flow even if its agent has
+ *     ejected it, since most targets of the service are ejected
  */
 public record ForwardTerms(
     String service,
@@ -18,4 +18,4 @@
     int timeoutMs,
     int coldOpeningsPerS,
     boolean repeatable,
-    boolean insists) {}
+    boolean overridesEjection) {}
--- a/core/src/main/java/io/moorstage/core/message/GiveBackReason.java
+++ b/core/src/main/java/io/moorstage/core/message/GiveBackReason.java
@@ -1,31 +1,31 @@
 package io.moorstage.core.message;
 
-/** Why an agent gives a segment back to the balancer that sent it. */
+/** Why an agent rejects a segment and gives it back to the balancer that forwarded it. */
 public enum GiveBackReason {
   /** The target does not hold the segment's flow. */
   NOT_HELD,
-  /** The target cannot take another flow now. */
+  /** The target has returned the opening segment, since it cannot accept another flow now. */
   FULL,
-  /** The target is leaving and takes no new flow. */
+  /** The target is draining or no longer listed, and accepts no new flows. */
   LEAVING,
-  /** The agent's target belongs to another service. */
+  /** The segment is meant for another service than the one that the agent's target belongs to. */
   OTHER_SERVICE,
-  /** The balancer acts on an older configuration than one that was already in effect here. */
+  /** The balancer's configuration is older than one that the agent has already applied. */
   OLD_CONFIGURATION,
-  /** The target has not answered an opening segment in time. */
+  /** The target has not answered an opening segment before the time-out. */
   SILENT,
-  /** The target's zone is evacuated and takes no new flow. */
+  /** The target's zone is evacuated and accepts no new flows. */
   EVACUATED,
-  /** The target is cold and has got as many new flows in the last second as it bears. */
+  /** The target is cold and has reached its limit of new flows per second. */
   COLD,
   /** The target's process has ended. */
   ENDED,
-  /** The target has broken off requests, or answers none, and gets no new flow for a while. */
+  /** The agent has ejected the target as an outlier, and gives it no new flows for a while. */
   UNFIT;
 
   private static final GiveBackReason[] VALUES = values();
 
-  /** Returns the reason with a number, or null if there is none. */
+  /** Returns the reason with an ordinal, as messages carry it, or null if there is none. */
   public static GiveBackReason ofNumber(int number) {
     return number >= 0 && number < VALUES.length ? VALUES[number] : null;
   }
--- a/core/src/main/java/io/moorstage/core/message/TargetReport.java
+++ b/core/src/main/java/io/moorstage/core/message/TargetReport.java
@@ -3,18 +3,19 @@
 import io.moorstage.core.state.TargetPhase;
 
 /**
- * What a balancer reports to an agent of the target beside it.
+ * The listed state of a target, as a balancer reports it to the agent on the target's machine.
  *
- * @param revision the source's revision at which the balancer knew this
- * @param phase how far the target is in its life
+ * @param revision the revision of the configuration source from which the report was made
+ * @param phase the target's phase
  * @param evacuated whether the target's zone is evacuated
- * @param capacity the requests that the target works on at a time
- * @param startNumber names this start of the target, never 0
- * @param tookOver whether the source still lists, as ready, the target before it at its address
- * @param slowStartMs for how long the target was said to be slow when it started, or when it last
- *     turned cold; 0 if it started warm
- * @param coldStartMs for how long a target of the service is cold after a start; 0 if there is no
- *     limit on what it gets meanwhile
+ * @param capacity number of requests that the target processes concurrently
+ * @param startNumber identifies this start of the target; never 0
+ * @param predecessorListedReady whether the source still lists as ready the previous target at the
+ *     same address, which therefore ended without draining
+ * @param slowStartMs duration of the target's slow start in milliseconds, as listed when it started
+ *     or last turned cold; 0 if it started warm
+ * @param coldStartMs how long a target of the service is cold after a start, in milliseconds; 0 if
+ *     new flows are not limited meanwhile
  */
 public record TargetReport(
     long revision,
@@ -22,6 +23,6 @@
     boolean evacuated,
     int capacity,
     long startNumber,
-    boolean tookOver,
+    boolean predecessorListedReady,
     int slowStartMs,
     int coldStartMs) {}
--- a/core/src/main/java/io/moorstage/core/message/package-info.java
+++ b/core/src/main/java/io/moorstage/core/message/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What balancers and agents report to each other about flows, targets and agents, as typed
- * messages.
+ * The contents of messages between balancers and agents: reports on targets and agents, the
+ * parameters of forwarded segments, and the responses to queries for flows.
  *
- * <p>Owns no state. How these messages travel is the business of module forwarding.
+ * <p>Holds no mutable state. Module forwarding encodes these messages and sends them.
  */
 package io.moorstage.core.message;
--- a/core/src/test/java/io/moorstage/core/Fleet.java
+++ b/core/src/test/java/io/moorstage/core/Fleet.java
@@ -160,7 +160,7 @@
     public void forward(int agentAddress, ForwardTerms terms, ByteBuffer datagram) {
       forwardedTo.add(agentAddress);
       forwardedFor.add(terms.service());
-      ejectionOverrides += terms.insists() ? 1 : 0;
+      ejectionOverrides += terms.overridesEjection() ? 1 : 0;
     }
 
     @Override
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTargetTest.java
@@ -4,7 +4,7 @@
 
 import io.moorstage.core.Fleet;
 import io.moorstage.core.flow.Segment;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
 import io.moorstage.core.state.Revision;
@@ -63,8 +63,8 @@
     assertThat(actions.reset).containsExactly(Fleet.flow(1), Fleet.flow(2));
     forward(Fleet.open(Fleet.flow(3), 0));
     assertThat(actions.givenBack).containsExactly(GiveBackReason.ENDED);
-    assertThat(agent.onQuery(Fleet.flow(9), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
+    assertThat(agent.onQuery(Fleet.flow(9), nowMs)).isEqualTo(FlowQueryResult.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.LOST);
   }
 
   // Guards against the reset of a live flow: another target that also got the opening, or an offer
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
@@ -4,7 +4,7 @@
 
 import io.moorstage.core.Fleet;
 import io.moorstage.core.flow.Segment;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
 import io.moorstage.core.state.TargetPhase;
@@ -97,7 +97,7 @@
     forward(next);
     receiveFromTarget(Fleet.returned(next));
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.LOST);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.LOST);
   }
 
   @Test
@@ -108,14 +108,14 @@
     receiveFromTarget(Fleet.returned(data));
     assertThat(actions.reset).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.NOT_HELD);
   }
 
   @Test
   void restartedAgentRebuildsItsFlowsFromTheTargetsSegments() {
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.UNKNOWN);
     respond(1);
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.HELD);
   }
 
   @Test
@@ -133,7 +133,7 @@
     forward(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.delivered).isEmpty();
     assertThat(actions.givenBack).containsExactly(GiveBackReason.NOT_HELD);
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.NOT_HELD);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.NOT_HELD);
   }
 
   private void fillTarget() {
@@ -303,9 +303,9 @@
   void unknownFlowIsUnlikelyAtATargetThatStartedAfterTheAgent() {
     agent.onTargetReport(
         new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNLIKELY);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.UNLIKELY);
     openFlow(2);
-    assertThat(agent.onQuery(Fleet.flow(2), nowMs)).isEqualTo(FlowKnowledge.HELD);
+    assertThat(agent.onQuery(Fleet.flow(2), nowMs)).isEqualTo(FlowQueryResult.HELD);
   }
 
   @Test
@@ -313,6 +313,6 @@
     agent.onTargetReport(
         new TargetReport(9, TargetPhase.READY, false, CAPACITY, 5, true, 0, 0), nowMs);
     receiveFromTarget(Fleet.data(Fleet.flow(3), 2, 100));
-    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowKnowledge.UNKNOWN);
+    assertThat(agent.onQuery(Fleet.flow(1), nowMs)).isEqualTo(FlowQueryResult.UNKNOWN);
   }
 }
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -7,7 +7,7 @@
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.DecisionLog;
 import io.moorstage.core.message.AgentReport;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.state.FleetState;
 import io.moorstage.core.state.TargetPhase;
@@ -350,7 +350,7 @@
     Segment segment = Fleet.data(flow, 501, 10);
     sendClientSegment(segment);
     for (int agent : new int[] {A, B, C}) {
-      balancer.onQueryResult(agent, flow, FlowKnowledge.UNKNOWN, agent, nowMs);
+      balancer.onQueryResult(agent, flow, FlowQueryResult.UNKNOWN, agent, nowMs);
     }
     for (int offer = 0; offer < 3; offer++) {
       returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, segment);
@@ -401,7 +401,7 @@
     reportAgents(A, B, C);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.asked).containsExactly(A, B, C);
-    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowQueryResult.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
 
@@ -411,7 +411,7 @@
     reportAgents(A, B);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     assertThat(actions.asked).containsExactly(A, B);
-    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.HELD, B, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowQueryResult.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
 
@@ -421,7 +421,7 @@
     reportAgents(A, B, C);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     for (int agent : new int[] {A, B, C}) {
-      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowQueryResult.NOT_HELD, agent, nowMs);
     }
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
     assertThat(actions.forwardedTo).isEmpty();
@@ -432,8 +432,8 @@
     updateState(threeTargets());
     reportAgents(A, B);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
-    balancer.onQueryResult(A, Fleet.flow(1), FlowKnowledge.NOT_HELD, A, nowMs);
-    balancer.onQueryResult(B, Fleet.flow(1), FlowKnowledge.NOT_HELD, B, nowMs);
+    balancer.onQueryResult(A, Fleet.flow(1), FlowQueryResult.NOT_HELD, A, nowMs);
+    balancer.onQueryResult(B, Fleet.flow(1), FlowQueryResult.NOT_HELD, B, nowMs);
     nowMs += Fleet.POLICY.search().durationMs() + 1;
     balancer.onTick(nowMs);
     assertThat(actions.reset).isEmpty();
@@ -446,7 +446,7 @@
     reportAgents(A, B, C);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
     for (int agent : new int[] {A, B, C}) {
-      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.NOT_HELD, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowQueryResult.NOT_HELD, agent, nowMs);
     }
     assertThat(actions.reset).isEmpty();
   }
@@ -458,7 +458,7 @@
     assertThat(actions.asked).containsExactly(A);
     reportAgents(A);
     assertThat(actions.asked).containsExactly(A, A);
-    balancer.onQueryResult(A, Fleet.flow(1), FlowKnowledge.HELD, A, nowMs);
+    balancer.onQueryResult(A, Fleet.flow(1), FlowQueryResult.HELD, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
@@ -469,7 +469,7 @@
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
     sendClientSegment(data);
     for (int agent : new int[] {A, B, C}) {
-      balancer.onQueryResult(agent, Fleet.flow(1), FlowKnowledge.UNKNOWN, agent, nowMs);
+      balancer.onQueryResult(agent, Fleet.flow(1), FlowQueryResult.UNKNOWN, agent, nowMs);
     }
     assertThat(actions.forwardedTo).hasSize(1);
     returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
@@ -488,12 +488,14 @@
     reportAgents(A, B, C);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
     sendClientSegment(data);
-    balancer.onQueryResult(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
+    balancer.onQueryResult(
+        OTHER_BALANCER, Fleet.flow(1), FlowQueryResult.KNOWN_ELSEWHERE, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
     assertThat(balancer.knownTarget(Fleet.flow(1))).isEqualTo(0);
 
     returnSegment(A, GiveBackReason.NOT_HELD, 1, data);
-    balancer.onQueryResult(OTHER_BALANCER, Fleet.flow(1), FlowKnowledge.KNOWN_ELSEWHERE, A, nowMs);
+    balancer.onQueryResult(
+        OTHER_BALANCER, Fleet.flow(1), FlowQueryResult.KNOWN_ELSEWHERE, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
@@ -6,7 +6,7 @@
 import io.moorstage.core.flow.FlowId;
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.DecisionLog;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.placement.TargetPool;
 import io.moorstage.core.placement.TargetSlot;
@@ -102,24 +102,24 @@
   }
 
   /** Responds to each query once; queries for which the function returns null are lost. */
-  private void respond(FlowId flow, IntFunction<FlowKnowledge> resultOf) {
+  private void respond(FlowId flow, IntFunction<FlowQueryResult> resultOf) {
     while (answeredQueries < actions.asked.size()) {
       int agent = actions.asked.get(answeredQueries);
       answeredQueries++;
-      FlowKnowledge result = resultOf.apply(agent);
+      FlowQueryResult result = resultOf.apply(agent);
       if (result != null) {
         balancer.onQueryResult(agent, flow, result, agent, nowMs);
       }
     }
   }
 
-  private void respondToAll(FlowKnowledge result) {
+  private void respondToAll(FlowQueryResult result) {
     respond(FLOW, agent -> result);
   }
 
   /** The holder's agent reports the flow; all others have not run for long enough to know it. */
   private void respondAsHeldBy(int holder) {
-    respond(FLOW, agent -> agent == holder ? FlowKnowledge.HELD : FlowKnowledge.UNKNOWN);
+    respond(FLOW, agent -> agent == holder ? FlowQueryResult.HELD : FlowQueryResult.UNKNOWN);
   }
 
   /** Returns each offered segment once, from all targets but the holder. */
@@ -140,7 +140,7 @@
    */
   private void runSearch(FlowId flow, int holder) {
     for (int i = 0; i < ALL_TARGETS; i++) {
-      respond(flow, agent -> FlowKnowledge.UNKNOWN);
+      respond(flow, agent -> FlowQueryResult.UNKNOWN);
       returnOffers(flow, holder);
       nowMs += Fleet.POLICY.search().pauseMs();
       balancer.onTick(nowMs);
@@ -185,7 +185,7 @@
   void holderOfTheFormerServiceNamedByABalancerIsAccepted() {
     applyRouteMove();
     sendClientData();
-    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
+    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowQueryResult.KNOWN_ELSEWHERE, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
@@ -231,13 +231,13 @@
     applyRouteTo(2, SERVICE);
     sendClientData();
     for (int passedMs = 0; passedMs < 3 * Fleet.POLICY.search().durationMs(); passedMs += 20) {
-      respond(FLOW, agent -> agent == HOLDER ? null : FlowKnowledge.NOT_HELD);
+      respond(FLOW, agent -> agent == HOLDER ? null : FlowQueryResult.NOT_HELD);
       nowMs += 20;
       balancer.onTick(nowMs);
     }
     assertThat(actions.reset).isEmpty();
     sendClientData();
-    balancer.onQueryResult(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
+    balancer.onQueryResult(HOLDER, FLOW, FlowQueryResult.HELD, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
@@ -245,7 +245,7 @@
   void flowThatNoTargetOfAnyServiceHoldsIsResetOnceAllAgentsHaveResponded() {
     applyRouteTo(2, SERVICE);
     sendClientData();
-    respondToAll(FlowKnowledge.NOT_HELD);
+    respondToAll(FlowQueryResult.NOT_HELD);
     assertThat(actions.asked).hasSize(ALL_TARGETS);
     assertThat(actions.asked).containsNoDuplicates();
     assertThat(actions.reset).containsExactly(FLOW);
@@ -255,7 +255,7 @@
   void agentsOfOtherServicesAreQueriedOnlyOnceThoseOfTheRouteHaveResponded() {
     applyRouteTo(2, SERVICE);
     sendClientData();
-    respondToAll(FlowKnowledge.NOT_HELD);
+    respondToAll(FlowQueryResult.NOT_HELD);
     for (int i = 0; i < ALL_TARGETS; i++) {
       assertThat(actions.asked.get(i) < ADDRESS).isEqualTo(i >= TARGETS);
     }
@@ -286,10 +286,10 @@
   void agentOfAnotherServiceIsQueriedBeforeAHolderNamedByABalancerIsAccepted() {
     applyRouteTo(2, SERVICE);
     sendClientData();
-    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowKnowledge.KNOWN_ELSEWHERE, HOLDER, nowMs);
+    balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowQueryResult.KNOWN_ELSEWHERE, HOLDER, nowMs);
     assertThat(actions.forwardedTo).isEmpty();
     assertThat(actions.asked).contains(HOLDER);
-    balancer.onQueryResult(HOLDER, FLOW, FlowKnowledge.HELD, HOLDER, nowMs);
+    balancer.onQueryResult(HOLDER, FLOW, FlowQueryResult.HELD, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -7,7 +7,7 @@
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.log.DecisionLog;
 import io.moorstage.core.message.AgentReport;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.placement.TargetPool;
 import io.moorstage.core.placement.TargetSlot;
@@ -69,7 +69,7 @@
   }
 
   /** Responds to each query once, always with the same result. */
-  private void respondToAll(FlowKnowledge result) {
+  private void respondToAll(FlowQueryResult result) {
     respondToAllExcept(0, result);
   }
 
@@ -77,7 +77,7 @@
    * Responds to each query once, always with the same result; queries to the unresponsive agent are
    * lost.
    */
-  private void respondToAllExcept(int unresponsiveAddress, FlowKnowledge result) {
+  private void respondToAllExcept(int unresponsiveAddress, FlowQueryResult result) {
     while (answeredQueries < actions.asked.size()) {
       int agent = actions.asked.get(answeredQueries);
       answeredQueries++;
@@ -108,7 +108,7 @@
       int agent = actions.asked.get(answeredQueries);
       answeredQueries++;
       if (agent != unresponsiveAddress) {
-        FlowKnowledge result = agent == holder ? FlowKnowledge.HELD : FlowKnowledge.NOT_HELD;
+        FlowQueryResult result = agent == holder ? FlowQueryResult.HELD : FlowQueryResult.NOT_HELD;
         balancer.onQueryResult(agent, FLOW, result, agent, nowMs);
       }
     }
@@ -191,7 +191,7 @@
   void lostFlowIsOfferedToFewTargetsWhereAllHaveRestarted() {
     reportAllAgentsExcept(0);
     sendClientData();
-    respondToAll(FlowKnowledge.UNLIKELY);
+    respondToAll(FlowQueryResult.UNLIKELY);
     returnOffers(0);
     assertThat(actions.forwardedTo.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
     assertThat(actions.reset).containsExactly(FLOW);
@@ -202,7 +202,7 @@
     int holder = addressesByRank().get(SearchQueries.FIRST_ROUND_SIZE - 1);
     reportAllAgentsExcept(0);
     sendClientData();
-    respondToAll(FlowKnowledge.UNLIKELY);
+    respondToAll(FlowQueryResult.UNLIKELY);
     returnOffers(holder);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
@@ -214,7 +214,7 @@
   void offersPauseAfterABatchAndContinueUntilAllTargetsHaveReturnedTheSegment() {
     reportAllAgentsExcept(0);
     sendClientData();
-    respondToAll(FlowKnowledge.UNKNOWN);
+    respondToAll(FlowQueryResult.UNKNOWN);
     returnOffers(0);
     assertThat(actions.forwardedTo).hasSize(TARGETS / 4);
     for (int i = 0; i < TARGETS; i++) {
@@ -233,7 +233,7 @@
   void searchResumesWithoutNewQueriesWhenAnOfferIsReturnedLate() {
     reportAllAgentsExcept(0);
     sendClientData();
-    respondToAll(FlowKnowledge.UNKNOWN);
+    respondToAll(FlowQueryResult.UNKNOWN);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
     int queryCount = actions.asked.size();
@@ -253,7 +253,7 @@
       for (int i = 0; i < 50; i++) {
         nowMs += 20;
         balancer.onTick(nowMs);
-        respondToAllExcept(unresponsive, FlowKnowledge.UNKNOWN);
+        respondToAllExcept(unresponsive, FlowQueryResult.UNKNOWN);
         returnOffers(0);
       }
     }
@@ -270,7 +270,7 @@
       for (int i = 0; i < 100; i++) {
         nowMs += 20;
         balancer.onTick(nowMs);
-        respondToAllExcept(unresponsive, FlowKnowledge.UNKNOWN);
+        respondToAllExcept(unresponsive, FlowQueryResult.UNKNOWN);
         returnOffers(0);
       }
     }
@@ -283,13 +283,13 @@
     int holder = addressesByRank().get(LOW_RANK);
     reportAllAgentsExcept(0);
     sendClientData();
-    respondToAllExcept(holder, FlowKnowledge.UNKNOWN);
+    respondToAllExcept(holder, FlowQueryResult.UNKNOWN);
     for (int i = 0; i < 3; i++) {
       nowMs += Fleet.POLICY.search().answerTimeoutMs();
       balancer.onTick(nowMs);
     }
     assertThat(actions.lastForwardedTo()).isNotEqualTo(holder);
-    balancer.onQueryResult(holder, FLOW, FlowKnowledge.HELD, holder, nowMs);
+    balancer.onQueryResult(holder, FLOW, FlowQueryResult.HELD, holder, nowMs);
     sendClientData();
     assertThat(actions.lastForwardedTo()).isEqualTo(holder);
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessages.java
@@ -4,7 +4,7 @@
 import io.moorstage.core.flow.FlowId;
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.flow.SegmentCodec;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.TargetReport;
 import io.moorstage.core.model.Endpoint;
 import io.moorstage.core.state.Revision;
@@ -81,7 +81,7 @@
   private void onAsk(int balancer, PeerMessage.Ask ask, long nowMs) {
     List<PeerMessage.FlowAnswer> known = new ArrayList<>(ask.flows().size());
     for (FlowId flow : ask.flows()) {
-      FlowKnowledge knowledge = agent.onQuery(flow, nowMs);
+      FlowQueryResult knowledge = agent.onQuery(flow, nowMs);
       known.add(new PeerMessage.FlowAnswer(flow, knowledge, parts.ownAddress));
     }
     answers.send(new PeerMessage.Answer(known), balancer);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessages.java
@@ -5,7 +5,7 @@
 import io.moorstage.core.flow.Segment;
 import io.moorstage.core.flow.SegmentCodec;
 import io.moorstage.core.message.AgentReport;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.model.Endpoint;
 import io.moorstage.forwarding.log.EventLog;
 import io.moorstage.forwarding.metrics.ForwardingMetrics;
@@ -93,7 +93,7 @@
     for (FlowId flow : ask.flows()) {
       int target = balancer.knownTarget(flow);
       if (target != 0) {
-        known.add(new PeerMessage.FlowAnswer(flow, FlowKnowledge.KNOWN_ELSEWHERE, target));
+        known.add(new PeerMessage.FlowAnswer(flow, FlowQueryResult.KNOWN_ELSEWHERE, target));
       }
     }
     if (!known.isEmpty()) {
@@ -130,7 +130,7 @@
         beacon.zone(),
         beacon.busyFlows(),
         beacon.stopping(),
-        beacon.targetUnfit(),
+        beacon.targetEjected(),
         beacon.targetEnded());
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
@@ -1,7 +1,7 @@
 package io.moorstage.forwarding.peer;
 
 import io.moorstage.core.flow.FlowId;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.ForwardTerms;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
@@ -50,7 +50,7 @@
    * @param knowledge what the answering node knows
    * @param targetAddress the machine of the target that holds the flow, 0 if unknown
    */
-  record FlowAnswer(FlowId flow, FlowKnowledge knowledge, int targetAddress) {}
+  record FlowAnswer(FlowId flow, FlowQueryResult knowledge, int targetAddress) {}
 
   /**
    * A balancer reports that it lives.
@@ -90,7 +90,7 @@
    * @param revision the source's revision of the state copy that the agent keeps, 0 for none
    * @param busyFlows flows of its target with a request in progress
    * @param stopping whether the agent is about to end
-   * @param targetUnfit whether the target has broken off requests of late, or answers none
+   * @param targetEjected whether the target has broken off requests of late, or answers none
    * @param targetEnded whether the target's process has ended
    * @param balancers addresses of some balancers that it has heard from
    */
@@ -100,7 +100,7 @@
       long revision,
       int busyFlows,
       boolean stopping,
-      boolean targetUnfit,
+      boolean targetEjected,
       boolean targetEnded,
       int[] balancers)
       implements PeerMessage {}
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessageCodec.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessageCodec.java
@@ -1,7 +1,7 @@
 package io.moorstage.forwarding.peer;
 
 import io.moorstage.core.flow.FlowId;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.ForwardTerms;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
@@ -67,7 +67,7 @@
     out.putLong(terms.configurationVersion()).putInt(terms.timeoutMs());
     out.putInt(terms.coldOpeningsPerS());
     putFlag(terms.repeatable(), out);
-    putFlag(terms.insists(), out);
+    putFlag(terms.overridesEjection(), out);
     out.put(forward.datagram().duplicate());
   }
 
@@ -101,7 +101,7 @@
     putText(beacon.zone(), out);
     out.putLong(beacon.revision()).putInt(beacon.busyFlows());
     putFlag(beacon.stopping(), out);
-    putFlag(beacon.targetUnfit(), out);
+    putFlag(beacon.targetEjected(), out);
     putFlag(beacon.targetEnded(), out);
     putAddresses(beacon.balancers(), out);
   }
@@ -114,7 +114,7 @@
     out.putLong(target.revision());
     putFlag(target.evacuated(), out);
     out.putInt(target.capacity()).putLong(target.startNumber());
-    putFlag(target.tookOver(), out);
+    putFlag(target.predecessorListedReady(), out);
     out.putInt(target.slowStartMs()).putInt(target.coldStartMs());
   }
 
@@ -201,7 +201,7 @@
     List<PeerMessage.FlowAnswer> flows = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       FlowId flow = getFlow(in);
-      FlowKnowledge knowledge = FlowKnowledge.ofNumber(in.get());
+      FlowQueryResult knowledge = FlowQueryResult.ofNumber(in.get());
       int targetAddress = in.getInt();
       if (knowledge == null) {
         return null;
--- a/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.moorstage.core.flow.FlowId;
-import io.moorstage.core.message.FlowKnowledge;
+import io.moorstage.core.message.FlowQueryResult;
 import io.moorstage.core.message.ForwardTerms;
 import io.moorstage.core.message.GiveBackReason;
 import io.moorstage.core.message.TargetReport;
@@ -57,8 +57,8 @@
     PeerMessage answer =
         new PeerMessage.Answer(
             List.of(
-                new PeerMessage.FlowAnswer(FLOW, FlowKnowledge.HELD, 7),
-                new PeerMessage.FlowAnswer(OTHER_FLOW, FlowKnowledge.UNKNOWN, 8)));
+                new PeerMessage.FlowAnswer(FLOW, FlowQueryResult.HELD, 7),
+                new PeerMessage.FlowAnswer(OTHER_FLOW, FlowQueryResult.UNKNOWN, 8)));
     assertThat(throughTheWire(ask)).isEqualTo(ask);
     assertThat(throughTheWire(answer)).isEqualTo(answer);
   }
@@ -66,7 +66,7 @@
   @Test
   void largestQuestionAndAnswerFitIntoADatagram() {
     PeerMessage ask = new PeerMessage.Ask(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, FLOW));
-    PeerMessage.FlowAnswer known = new PeerMessage.FlowAnswer(FLOW, FlowKnowledge.HELD, 7);
+    PeerMessage.FlowAnswer known = new PeerMessage.FlowAnswer(FLOW, FlowQueryResult.HELD, 7);
     PeerMessage answer =
         new PeerMessage.Answer(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, known));
     assertThat(throughTheWire(ask)).isEqualTo(ask);
