--- a/core/src/main/java/io/moorstage/core/flow/FlowId.java
+++ b/core/src/main/java/io/moorstage/core/flow/FlowId.java
@@ -3,7 +3,7 @@
 import io.moorstage.core.model.Endpoint;
 
 /**
- * The identity of a flow: the client's end and the service address that it speaks to.
+ * The identity of a flow: the endpoints of the client and of the service that it connects to.
  *
  * @param clientAddress IPv4 address of the client, first octet in the highest bits
  * @param clientPort port of the client, 0 to 65535
@@ -16,27 +16,27 @@
   private static final int INT_BITS = 32;
   private static final long INT_MASK = 0xFFFFFFFFL;
 
-  /** Returns the client's end in 48 bits. */
+  /** Returns the client's address and port, packed into 48 bits. */
   public long client() {
     return pack(clientAddress, clientPort);
   }
 
-  /** Returns the service address and port in 48 bits, the key of a route. */
+  /** Returns the service's address and port, packed into 48 bits; the key of a route. */
   public long service() {
     return pack(serviceAddress, servicePort);
   }
 
-  /** Packs an address and a port into 48 bits. */
+  /** Packs an address and a port into 48 bits, the address in the upper 32. */
   public static long pack(int address, int port) {
     return (address & INT_MASK) << PORT_BITS | port;
   }
 
-  /** Returns a well mixed hash, equal on all nodes. */
+  /** Returns a well-distributed hash that is the same on all nodes. */
   public long hash() {
     return mix(mix(client()) ^ service());
   }
 
-  /** Mixes the bits of a number so that each bit of the input moves all bits of the result. */
+  /** Mixes the bits of a number so that each bit of the input affects all bits of the result. */
   public static long mix(long value) {
     long mixed = (value ^ value >>> INT_BITS) * MULTIPLIER;
     mixed = (mixed ^ mixed >>> INT_BITS) * MULTIPLIER;
@@ -57,7 +57,7 @@
     return (int) hash();
   }
 
-  /** Returns the spelling of all logs: client, then service. */
+  /** Returns the form used in logs: the client's endpoint, {@code >}, the service's endpoint. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder(Endpoint.of(clientAddress, clientPort).toString());
--- a/core/src/main/java/io/moorstage/core/flow/Segment.java
+++ b/core/src/main/java/io/moorstage/core/flow/Segment.java
@@ -1,15 +1,16 @@
 package io.moorstage.core.flow;
 
 /**
- * What forwarding reads of one segment.
+ * The fields of a segment that forwarding decisions need.
  *
- * @param flow the flow that the segment belongs to, from either direction
- * @param kind what the segment does to its flow
- * @param copy which copy of an opening segment it is, counted from 0; 0 for all others
- * @param returned whether the target has sent back a client's segment that it cannot take
+ * @param flow the flow of the segment, the same for both directions
+ * @param kind the effect of the segment on its flow
+ * @param copy the number of this copy of an opening segment, counted from 0; 0 for other segments
+ * @param returned whether this is a client's segment that the target has rejected and sent back
  * @param sequence the sequence number of the first byte of data
- * @param acknowledged the acknowledgement number, which a reset of the balancer's own repeats
- * @param dataBytes how much data the segment carries
+ * @param acknowledged the acknowledgement number, which a reset sent by a balancer or an agent uses
+ *     as its sequence number
+ * @param dataBytes the length of the segment's data in bytes
  */
 public record Segment(
     FlowId flow,
@@ -20,17 +21,17 @@
     int acknowledged,
     int dataBytes) {
 
-  /** What a segment does to its flow. */
+  /** The effect of a segment on its flow. */
   public enum Kind {
-    /** The client asks for a new flow. */
+    /** The client opens a new flow. */
     OPEN,
-    /** The target accepts a new flow. */
+    /** The target accepts the new flow. */
     OPEN_ACCEPTED,
-    /** Data or an acknowledgement on a flow. */
+    /** Carries data or an acknowledgement. */
     DATA,
-    /** One end closes its direction. */
+    /** One end closes its direction of the flow. */
     CLOSE,
-    /** One end breaks the flow off. */
+    /** One end aborts the flow. */
     RESET
   }
 }
--- a/core/src/main/java/io/moorstage/core/flow/package-info.java
+++ b/core/src/main/java/io/moorstage/core/flow/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What a flow and its segments are: the identity of a flow, the parts of a segment that decisions
+ * Flows and segments: the identity of a flow, the fields of a segment that forwarding decisions
  * need, and the interface of the codec that reads them.
  *
- * <p>Owns no state. Relies on nothing else of moorstage; the adapter of the platform implements
- * {@link io.moorstage.core.flow.SegmentCodec}.
+ * <p>Holds no mutable state. Of the other packages of moorstage it depends on {@code model} alone;
+ * module platform implements {@link io.moorstage.core.flow.SegmentCodec}.
  */
 package io.moorstage.core.flow;
