--- a/core/src/main/java/io/moorstage/core/error/Failure.java
+++ b/core/src/main/java/io/moorstage/core/error/Failure.java
@@ -2,10 +2,10 @@
 
 /**
  * A kind of failure. Each module declares its own kinds as an enum that implements this interface,
- * so that logs, metrics and exit codes never depend on message texts.
+ * so that logs, metrics and exit codes do not depend on message texts.
  */
 public interface Failure {
 
-  /** Returns the stable identifier that logs and metrics carry, for example {@code unreachable}. */
+  /** Returns the stable identifier used in logs and metrics, for example {@code unreachable}. */
   String code();
 }
--- a/core/src/main/java/io/moorstage/core/error/MoorstageException.java
+++ b/core/src/main/java/io/moorstage/core/error/MoorstageException.java
@@ -1,6 +1,6 @@
 package io.moorstage.core.error;
 
-/** Base of every checked exception of moorstage; its {@link Failure} tells what went wrong. */
+/** Base class of the checked exceptions of moorstage; its {@link Failure} classifies the error. */
 public abstract class MoorstageException extends Exception {
   private static final long serialVersionUID = 1L;
 
@@ -10,7 +10,7 @@
    * Creates an exception.
    *
    * @param failure the kind of failure
-   * @param detail one line for people: what, where, and what was expected
+   * @param detail one line for operators: what failed, where, and what was expected
    */
   protected MoorstageException(Failure failure, String detail) {
     super(detail);
@@ -21,8 +21,8 @@
    * Creates an exception with a cause.
    *
    * @param failure the kind of failure
-   * @param detail one line for people: what, where, and what was expected
-   * @param cause the exception that led to this one
+   * @param detail one line for operators: what failed, where, and what was expected
+   * @param cause the exception that caused this one
    */
   protected MoorstageException(Failure failure, String detail, Throwable cause) {
     super(detail, cause);
--- a/core/src/main/java/io/moorstage/core/error/package-info.java
+++ b/core/src/main/java/io/moorstage/core/error/package-info.java
@@ -1,2 +1,2 @@
-/** The base types of all failures. */
+/** The base types of failures and of checked exceptions. */
 package io.moorstage.core.error;
--- a/core/src/main/java/io/moorstage/core/model/Endpoint.java
+++ b/core/src/main/java/io/moorstage/core/model/Endpoint.java
@@ -1,6 +1,6 @@
 package io.moorstage.core.model;
 
-/** An IPv4 address and UDP port. IPv6 is not served. */
+/** An IPv4 address and UDP port. IPv6 is not supported. */
 public final class Endpoint implements Comparable<Endpoint> {
   private static final int OCTET_BITS = 8;
   private static final int OCTET_MASK = 0xFF;
@@ -14,7 +14,7 @@
   }
 
   /**
-   * Returns an endpoint.
+   * Creates an endpoint.
    *
    * @param ipv4 the address in network byte order, first octet in the highest bits
    * @param port the port, 0 to 65535
--- a/core/src/main/java/io/moorstage/core/model/package-info.java
+++ b/core/src/main/java/io/moorstage/core/model/package-info.java
@@ -1,2 +1,2 @@
-/** The value types that all modules share: endpoints of sockets and services. Owns no state. */
+/** Immutable value types that all modules share: endpoints of sockets and services. */
 package io.moorstage.core.model;
