--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
@@ -21,7 +21,7 @@
  * away. Thread-safe.
  */
 final class AgentStateCopy
-    implements FirstStateReader.CopyTaker, PeerStateFetcher.StateTaker, HttpEndpoint.Content {
+    implements FirstStateReader.CopyTaker, PeerStateFetcher.StateHandler, HttpEndpoint.Content {
   /**
    * Time between two copies, in milliseconds. Not measured; chosen so that steady changes cost a
    * balancer one transfer a second for each of the four copies of its zone.
@@ -49,7 +49,7 @@
     this.zone = settings.zone();
     this.metrics = metrics;
     PeerStateClient client = new PeerStateClient(settings.statePort());
-    this.fetcher = new PeerStateFetcher(client, () -> PeerStateQuery.NOTHING, this, log);
+    this.fetcher = new PeerStateFetcher(client, () -> PeerStateQuery.COMPLETE_STATE, this, log);
   }
 
   /** Starts the thread that asks balancers. */
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void take(int peerAddress, PeerStateQuery asked, byte[] peerState)
+  public void onPeerState(int peerAddress, PeerStateQuery query, byte[] peerState)
       throws StateSourceException {
     if (peerState.length < REVISION_OFFSET + Long.BYTES) {
       throw new StateSourceException(StateSourceFailure.MALFORMED, "a peer's state is cut off");
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
@@ -21,7 +21,7 @@
  * Gets the state from another node where that one knows a newer one than this balancer. {@link
  * StateLag} decides when. Thread-safe.
  */
-final class PeerCatchUp implements PeerStateFetcher.StateTaker {
+final class PeerCatchUp implements PeerStateFetcher.StateHandler {
   private final String zone;
   private final StateKeeper keeper;
   private final SourceFollower follower;
@@ -53,7 +53,7 @@
   /** A peer has advertised up to which revision it knows all. */
   void onAdvertised(int peer, String peerZone, long revision, long nowMs) {
     boolean isNear = peerZone.equals(zone);
-    lag.told(peer, isNear, revision, keeper.state().revision(), nowMs);
+    lag.recordPeerRevision(peer, isNear, revision, keeper.state().revision(), nowMs);
     fetchIfBehind(nowMs);
   }
 
@@ -63,7 +63,7 @@
       // Many advertise the same state while this node starts; one copy of it is enough.
       return;
     }
-    int peer = lag.peerToAsk(keeper.state().revision(), follower.isAnswering(), nowMs);
+    int peer = lag.peerToQuery(keeper.state().revision(), follower.isAnswering(), nowMs);
     if (peer != 0) {
       fetcher.fetch(peer);
     }
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public void take(int peerAddress, PeerStateQuery asked, byte[] encoded)
+  public void onPeerState(int peerAddress, PeerStateQuery query, byte[] encoded)
       throws StateSourceException {
     FleetStateCodec.PeerState answer = FleetStateCodec.decode(encoded);
     FleetState peerState = answer.state();
@@ -100,7 +100,7 @@
     if (answer.complete()) {
       keeper.replaceBy(peerState, MonotonicClock.nowMs());
     } else {
-      keeper.merge(peerState, asked.revision(), MonotonicClock.nowMs());
+      keeper.merge(peerState, query.revision(), MonotonicClock.nowMs());
     }
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateClient.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateClient.java
@@ -6,18 +6,18 @@
 import java.net.HttpURLConnection;
 import java.net.URL;
 
-/** Reads the state of another node. */
+/** Reads the state of a peer over HTTP. */
 public final class PeerStateClient {
   public static final String PATH = "/state";
 
   /**
-   * How long a peer may take to accept a connection, and between two parts of its answer, in
-   * milliseconds. Not measured; chosen so that two peers can be asked within the second and a half
-   * in which a balancer that has just started uses unlisted agents.
+   * The time-out for connecting to a peer, and for each read of its response, in milliseconds. Two
+   * peers can be queried within the 1.5 s in which a balancer that has just started uses unlisted
+   * agents.
    */
   private static final int TIMEOUT_MS = 700;
 
-  /** The largest state, in bytes; 45,000 targets take some 5 MB at 100 bytes each. */
+  /** The maximum size of a state, in bytes; 45,000 targets take about 5 MB at 100 bytes each. */
   private static final int MAX_BYTES = 64 << 20;
 
   private static final int OK = 200;
@@ -28,23 +28,31 @@
     this.statePort = statePort;
   }
 
-  /** Returns the encoded state of a node, or what has changed in it since a known one. */
-  byte[] read(int address, PeerStateQuery known) throws StateSourceException {
+  /**
+   * Returns the encoded complete state of a peer, or its encoded changes since the state that the
+   * query names.
+   *
+   * @param address IPv4 address of the peer
+   * @throws StateSourceException if the peer cannot be reached in time or returns an error status
+   */
+  byte[] read(int address, PeerStateQuery query) throws StateSourceException {
     Endpoint peer = Endpoint.of(address, statePort);
     try {
       HttpURLConnection connection =
-          (HttpURLConnection) new URL("http://" + peer + PATH + "?" + known).openConnection();
+          (HttpURLConnection) new URL("http://" + peer + PATH + "?" + query).openConnection();
       connection.setConnectTimeout(TIMEOUT_MS);
       connection.setReadTimeout(TIMEOUT_MS);
       if (connection.getResponseCode() != OK) {
         connection.disconnect();
-        throw new StateSourceException(StateSourceFailure.REFUSED, peer + " has no state");
+        throw new StateSourceException(
+            StateSourceFailure.REFUSED, peer + " returned an error status instead of its state");
       }
       try (InputStream in = connection.getInputStream()) {
         return in.readNBytes(MAX_BYTES);
       }
     } catch (IOException e) {
-      throw new StateSourceException(StateSourceFailure.UNREACHABLE, peer + " gives no state", e);
+      throw new StateSourceException(
+          StateSourceFailure.UNREACHABLE, peer + " did not return its state", e);
     }
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateFetcher.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateFetcher.java
@@ -5,34 +5,39 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Gets the state of peers that know more than this process, one at a time. */
+/** Fetches the state of peers that have a newer one than this process, from one peer at a time. */
 public final class PeerStateFetcher {
   private final PeerStateClient client;
-  private final Supplier<PeerStateQuery> known;
-  private final StateTaker taker;
+  private final Supplier<PeerStateQuery> ownState;
+  private final StateHandler handler;
   private final EventLog log;
-  private final Set<Integer> wanted = new LinkedHashSet<>();
+  private final Set<Integer> pendingPeers = new LinkedHashSet<>();
 
-  /** Takes the encoded state of a peer. */
-  public interface StateTaker {
+  /** Handles the states that peers return. */
+  public interface StateHandler {
     /**
-     * Takes a state, or the changes since what this node knew when it asked.
+     * Handles the encoded complete state of a peer, or its encoded changes since the state that the
+     * query names.
      *
-     * @throws StateSourceException if the bytes are neither
+     * @throws StateSourceException if the encoded state is malformed
      */
-    void take(int peerAddress, PeerStateQuery asked, byte[] encoded) throws StateSourceException;
+    void onPeerState(int peerAddress, PeerStateQuery query, byte[] encoded)
+        throws StateSourceException;
   }
 
   /**
    * Creates a fetcher.
    *
-   * @param known tells what this node knows when it asks
+   * @param ownState returns the query that names this node's state at the time of the request
    */
   public PeerStateFetcher(
-      PeerStateClient client, Supplier<PeerStateQuery> known, StateTaker taker, EventLog log) {
+      PeerStateClient client,
+      Supplier<PeerStateQuery> ownState,
+      StateHandler handler,
+      EventLog log) {
     this.client = client;
-    this.known = known;
-    this.taker = taker;
+    this.ownState = ownState;
+    this.handler = handler;
     this.log = log;
   }
 
@@ -42,42 +47,42 @@
     thread.start();
   }
 
-  /** Asks for the state of a peer; nothing happens if that is already asked for. */
+  /** Requests the state of a peer; does nothing if a request to it is pending or in flight. */
   public synchronized void fetch(int peerAddress) {
-    if (wanted.add(peerAddress)) {
+    if (pendingPeers.add(peerAddress)) {
       notifyAll();
     }
   }
 
-  /** Returns whether a state is being asked for. */
+  /** Returns whether any request is pending or in flight. */
   public synchronized boolean isBusy() {
-    return !wanted.isEmpty();
+    return !pendingPeers.isEmpty();
   }
 
-  private synchronized int next() throws InterruptedException {
-    while (wanted.isEmpty()) {
+  private synchronized int awaitNextPeer() throws InterruptedException {
+    while (pendingPeers.isEmpty()) {
       wait();
     }
-    return wanted.iterator().next();
+    return pendingPeers.iterator().next();
   }
 
-  private synchronized void done(int peerAddress) {
-    wanted.remove(peerAddress);
+  private synchronized void removePending(int peerAddress) {
+    pendingPeers.remove(peerAddress);
   }
 
   private void fetchForever() {
     try {
       while (true) {
-        int peer = next();
+        int peer = awaitNextPeer();
         try {
-          PeerStateQuery asked = known.get();
-          taker.take(peer, asked, client.read(peer, asked));
+          PeerStateQuery query = ownState.get();
+          handler.onPeerState(peer, query, client.read(peer, query));
         } catch (StateSourceException e) {
           log.event("peer-state-failed", "failure", e.failure().code(), "detail", e.getMessage());
         } catch (RuntimeException e) {
           log.event("internal-error", "detail", String.valueOf(e));
         }
-        done(peer);
+        removePending(peer);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateQuery.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/PeerStateQuery.java
@@ -3,22 +3,24 @@
 import javax.annotation.Nullable;
 
 /**
- * What a node that asks a peer for its state knows already.
+ * The query of a request for a peer's state. Names what the requesting node has, so that the peer
+ * can return just the changes.
  *
- * @param revision the revision up to which it knows all; 0 for nothing
- * @param version the version of its configuration
+ * @param revision the revision up to which the requesting node's state is complete, 0 if it has
+ *     none
+ * @param version the version of the requesting node's configuration, 0 if it has none
  */
 public record PeerStateQuery(long revision, long version) {
-  /** Asks for everything. */
-  public static final PeerStateQuery NOTHING = new PeerStateQuery(0, 0);
+  /** Requests the complete state. */
+  public static final PeerStateQuery COMPLETE_STATE = new PeerStateQuery(0, 0);
 
   private static final String REVISION = "revision=";
   private static final String VERSION = "version=";
 
-  /** Reads the query of a call; one that can't be read asks for everything. */
+  /** Parses the query of a request URL; one that is malformed requests the complete state. */
   public static PeerStateQuery parse(@Nullable String text) {
     if (text == null) {
-      return NOTHING;
+      return COMPLETE_STATE;
     }
     long revision = 0;
     long version = 0;
@@ -31,12 +33,12 @@
         }
       }
     } catch (NumberFormatException e) {
-      return NOTHING;
+      return COMPLETE_STATE;
     }
     return new PeerStateQuery(revision, version);
   }
 
-  /** Returns the query of a call. */
+  /** Returns the text for the query of a request URL. */
   @Override
   public String toString() {
     return new StringBuilder(REVISION)
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateLag.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateLag.java
@@ -1,64 +1,68 @@
 package io.moorstage.forwarding.state;
 
 /**
- * Notices that peers know a newer state than this node, and decides when to ask one of them. Times
- * are milliseconds.
+ * Detects that peers have a newer state than this node, and decides when to query one of them.
+ * Times are in milliseconds.
  */
 public final class StateLag {
   /**
-   * How long the source, or a balancer of the own zone, has to report what a peer elsewhere knows
-   * already, in milliseconds. Not measured; chosen above a call to the source and a beacon's way.
+   * How long to wait for the source, or for a balancer in the same zone, to provide a newer state
+   * that a peer has advertised, in milliseconds. Exceeds the time of a request to the source and
+   * the delay of a beacon.
    */
   private static final int SOURCE_DELAY_MS = 150;
 
   private int aheadPeer;
-  private boolean aheadPeerIsNear;
+  private boolean isAheadPeerInSameZone;
   private long aheadRevision;
-  private long sinceMs;
-  private boolean behind;
+  private long behindSinceMs;
+  private boolean isBehind;
 
   /**
-   * A peer has told up to which revision it knows all.
+   * Records the revision that a peer has advertised.
    *
-   * @param isNear whether the peer is in this node's zone: such a one is asked rather than others
+   * @param peer IPv4 address of the peer
+   * @param isSameZone whether the peer is in this node's zone; such a peer is preferred
+   * @param revision the revision up to which the peer's state is complete
+   * @param ownRevision the revision up to which this node's state is complete
    */
-  public synchronized void told(
-      int peer, boolean isNear, long revision, long ownRevision, long nowMs) {
+  public synchronized void recordPeerRevision(
+      int peer, boolean isSameZone, long revision, long ownRevision, long nowMs) {
     if (revision <= ownRevision) {
       return;
     }
-    if (!behind || isNear || !aheadPeerIsNear) {
+    if (!isBehind || isSameZone || !isAheadPeerInSameZone) {
       aheadPeer = peer;
-      aheadPeerIsNear = isNear;
+      isAheadPeerInSameZone = isSameZone;
     }
-    if (!behind) {
-      behind = true;
-      sinceMs = nowMs;
+    if (!isBehind) {
+      isBehind = true;
+      behindSinceMs = nowMs;
       aheadRevision = revision;
     }
   }
 
   /**
-   * Returns the peer to ask for its state now, or 0 if none is to be asked.
+   * Returns the address of the peer to query for its state now, or 0 if no query is due.
    *
-   * @param ownRevision the revision up to which this node knows all, 0 if it knows nothing
-   * @param sourceAnswers whether the last call to the source was answered
+   * @param ownRevision the revision up to which this node's state is complete, 0 if it has none
+   * @param isReadingSource whether this node reads the source and its last request succeeded
    */
-  public synchronized int peerToAsk(long ownRevision, boolean sourceAnswers, long nowMs) {
-    if (!behind) {
+  public synchronized int peerToQuery(long ownRevision, boolean isReadingSource, long nowMs) {
+    if (!isBehind) {
       return 0;
     }
     if (ownRevision >= aheadRevision) {
-      behind = false;
+      isBehind = false;
       return 0;
     }
-    // The source, or a peer of the same zone, usually tells a moment later. A source that has not
-    // answered will not.
-    boolean waits = ownRevision > 0 && (sourceAnswers || !aheadPeerIsNear);
-    if (waits && nowMs - sinceMs <= SOURCE_DELAY_MS) {
+    // The source, or a peer in the same zone, usually provides the newer state a moment later. A
+    // source that did not respond to the last request is not expected to.
+    boolean mayWait = ownRevision > 0 && (isReadingSource || !isAheadPeerInSameZone);
+    if (mayWait && nowMs - behindSinceMs <= SOURCE_DELAY_MS) {
       return 0;
     }
-    behind = false;
+    isBehind = false;
     return aheadPeer;
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/state/PeerStateQueryTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/state/PeerStateQueryTest.java
@@ -8,20 +8,21 @@
 
 class PeerStateQueryTest {
   @Property(seed = "20261202", tries = 500)
-  void queryComesThrough(@ForAll long revision, @ForAll long version) {
+  void parsedTextOfAQueryIsThatQuery(@ForAll long revision, @ForAll long version) {
     PeerStateQuery query = new PeerStateQuery(revision, version);
     assertThat(PeerStateQuery.parse(query.toString())).isEqualTo(query);
   }
 
   @Property(seed = "20261202", tries = 5_000)
-  void anyTextIsAQuery(@ForAll String text) {
+  void anyTextIsParsed(@ForAll String text) {
     assertThat(PeerStateQuery.parse(text)).isNotNull();
   }
 
   @Test
-  void queryThatCantBeReadAsksForEverything() {
-    assertThat(PeerStateQuery.parse(null)).isEqualTo(PeerStateQuery.NOTHING);
-    assertThat(PeerStateQuery.parse("revision=many")).isEqualTo(PeerStateQuery.NOTHING);
-    assertThat(PeerStateQuery.parse("revision=7&version=")).isEqualTo(PeerStateQuery.NOTHING);
+  void malformedQueryRequestsTheCompleteState() {
+    assertThat(PeerStateQuery.parse(null)).isEqualTo(PeerStateQuery.COMPLETE_STATE);
+    assertThat(PeerStateQuery.parse("revision=many")).isEqualTo(PeerStateQuery.COMPLETE_STATE);
+    assertThat(PeerStateQuery.parse("revision=7&version="))
+        .isEqualTo(PeerStateQuery.COMPLETE_STATE);
   }
 }
