--- a/forwarding/src/main/java/io/moorstage/forwarding/state/FormerServices.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/FormerServices.java
@@ -9,42 +9,42 @@
 import java.util.Set;
 
 /**
- * Remembers since when routes have had services at weight 0, and takes those out that have been so
- * for longer than a flow lives: none of their targets can hold a flow of the route any more. Not
- * thread-safe.
+ * Tracks since when routes have had services at weight 0, and removes a service from a route after
+ * a retention period that is longer than a flow lives, since none of the service's targets can hold
+ * a flow of the route by then. Not thread-safe.
  */
 final class FormerServices {
-  private final int memoryMs;
+  private final int retentionMs;
   private final Map<FormerService, Long> sinceMs = new HashMap<>();
-  private ForwardingConfiguration noted = ForwardingConfiguration.NONE;
+  private ForwardingConfiguration tracked = ForwardingConfiguration.NONE;
 
-  FormerServices(int memoryMs) {
-    this.memoryMs = memoryMs;
+  FormerServices(int retentionMs) {
+    this.retentionMs = retentionMs;
   }
 
-  /** Returns a state without those services that hold no flow any more. */
-  FleetState forget(FleetState newer, long nowMs) {
-    note(newer.configuration(), nowMs);
-    Set<FormerService> forgotten = new HashSet<>();
+  /** Returns a state without the services at weight 0 whose retention period has passed. */
+  FleetState removeExpired(FleetState newer, long nowMs) {
+    track(newer.configuration(), nowMs);
+    Set<FormerService> expired = new HashSet<>();
     sinceMs.forEach(
         (service, since) -> {
-          if (nowMs - since > memoryMs) {
-            forgotten.add(service);
+          if (nowMs - since > retentionMs) {
+            expired.add(service);
           }
         });
-    if (forgotten.isEmpty()) {
+    if (expired.isEmpty()) {
       return newer;
     }
-    ForwardingConfiguration kept = newer.configuration().withoutFormerServices(forgotten);
-    note(kept, nowMs);
+    ForwardingConfiguration kept = newer.configuration().withoutFormerServices(expired);
+    track(kept, nowMs);
     return newer.with(kept);
   }
 
-  private void note(ForwardingConfiguration configuration, long nowMs) {
-    if (configuration == noted) {
+  private void track(ForwardingConfiguration configuration, long nowMs) {
+    if (configuration == tracked) {
       return;
     }
-    noted = configuration;
+    tracked = configuration;
     Map<FormerService, Long> known = new HashMap<>(sinceMs);
     sinceMs.clear();
     for (FormerService service : configuration.formerServices()) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/RevisionGaps.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/RevisionGaps.java
@@ -4,28 +4,30 @@
 import java.util.List;
 
 /**
- * Revisions between two states of which nothing is known: what was listed only in between, and gone
- * again, is in no state of this node, but maybe in that of a peer. Thread-safe.
+ * The ranges of revisions that this node has skipped between two of its states. A target that was
+ * listed only within such a gap is in no state of this node, but may be in that of a peer.
+ * Thread-safe.
  */
 final class RevisionGaps {
   /**
-   * How many gaps are told apart. A node that learns from peers only gets a gap each time; those
-   * who ask from within one are few and a moment behind, so the older ones may well be joined.
+   * The maximum number of gaps. A node that gets its state from peers only adds a gap with each
+   * response. Few peers query from within a gap, and these are behind by a moment only, so the
+   * oldest gaps can be joined.
    */
   static final int MAX_GAPS = 64;
 
-  /** Guarded by this; in the order in which they arose, which is that of their revisions. */
+  /** Guarded by this; in order of creation, which is also the order of their revisions. */
   private final List<Gap> gaps = new ArrayList<>(1);
 
-  /** A gap between two revisions that are known. */
+  /** The revisions between two known revisions, excluding both. */
   private record Gap(long afterRevision, long untilRevision) {
-    private boolean holds(long revision) {
+    private boolean contains(long revision) {
       return revision > afterRevision && revision < untilRevision;
     }
   }
 
-  /** Notes what lies between two states; nothing if the second one follows the first. */
-  synchronized void note(long beforeRevision, long afterRevision) {
+  /** Adds the gap between two states; does nothing if no revision lies between them. */
+  synchronized void add(long beforeRevision, long afterRevision) {
     if (afterRevision <= beforeRevision + 1) {
       return;
     }
@@ -35,29 +37,30 @@
     }
   }
 
-  // The joined gap holds more than the two: whoever asks from there gets the whole state.
+  // The joined gap also contains the revisions between the two gaps: a peer that queries from there
+  // gets the complete state, which is correct for any revision.
   private void joinOldest() {
     Gap oldest = gaps.remove(0);
     Gap next = gaps.remove(0);
     gaps.add(0, new Gap(oldest.afterRevision(), next.untilRevision()));
   }
 
-  /** Forgets the gaps that end at a revision or before. */
-  synchronized void forgetUntil(long revision) {
+  /** Removes the gaps that end at a revision or before it. */
+  synchronized void removeUntil(long revision) {
     gaps.removeIf(gap -> gap.untilRevision() <= revision);
   }
 
   /** Returns whether a revision lies in a gap. */
-  synchronized boolean holds(long revision) {
+  synchronized boolean contains(long revision) {
     for (Gap gap : gaps) {
-      if (gap.holds(revision)) {
+      if (gap.contains(revision)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Returns how many gaps are told apart. */
+  /** Returns the number of gaps, of which joined ones count as one. */
   synchronized int count() {
     return gaps.size();
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateKeeper.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateKeeper.java
@@ -12,165 +12,182 @@
 import javax.annotation.Nullable;
 
 /**
- * Holds the newest state that this process knows, whoever reported it, and passes each newer one
- * on. States only go forward.
+ * Holds the newest state of this process, updated from the configuration source and from peers, and
+ * passes each update to a listener. The revision of the state never decreases.
  */
 public final class StateKeeper {
   /**
-   * How long what is known from an earlier era of the source only is kept, in milliseconds: what
-   * targets and operators wrote is written again within some two seconds of the source's return,
-   * which each node learns of a moment later. Whatever stays away for longer is taken for gone.
+   * How long unconfirmed entries, which are known only from an earlier era of the source, are kept,
+   * in milliseconds. Targets and operators write their entries again within about 2 s after a
+   * restored source is available, and each node receives them a moment later. An entry that is
+   * missing for longer is treated as gone.
    */
-  static final int UNCONFIRMED_MS = 2_500;
+  static final int UNCONFIRMED_TTL_MS = 2_500;
 
-  /** Nothing is known from an earlier era only. */
+  /** The expiry time while there are no unconfirmed entries. */
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final int goneMemoryMs;
+  private final int goneTargetRetentionMs;
   private final Listener listener;
   private final RevisionGaps gaps = new RevisionGaps();
-  private volatile long forgottenRevision;
+  private volatile long evictedRevision;
   private final Map<String, Long> goneSinceMs = new HashMap<>();
   private final FormerServices formerServices;
   private volatile FleetState state = FleetState.EMPTY;
   private volatile Encoded encoded;
 
-  /** When what is known from an earlier era only is dropped. */
+  /** When unconfirmed entries expire. */
   private volatile long unconfirmedUntilMs = NEVER;
 
-  /** A state in the form that peers read. */
+  /** A state with its encoding, cached for requests of peers. */
   private record Encoded(FleetState state, byte[] bytes) {}
 
-  /** Takes each newer state. */
+  /** Receives the updates of the state. */
   public interface Listener {
-    /** Takes a state; calls come one at a time, in order. */
+    /**
+     * Handles an update, which may have changed nothing. Calls are made one at a time, in the order
+     * of the updates.
+     */
     void onState(FleetState before, FleetState after, long nowMs);
   }
 
   /**
-   * Creates a keeper that knows nothing.
+   * Creates a keeper with the empty state.
    *
-   * @param goneMemoryMs for how long the record of a target that has gone is kept
-   * @param listener hears of each newer state
+   * @param goneTargetRetentionMs how long the record of a target that is gone is kept, in
+   *     milliseconds; also how long a route keeps a service at weight 0
+   * @param listener receives each update
    */
-  public StateKeeper(int goneMemoryMs, Listener listener) {
-    this.goneMemoryMs = goneMemoryMs;
-    this.formerServices = new FormerServices(goneMemoryMs);
+  public StateKeeper(int goneTargetRetentionMs, Listener listener) {
+    this.goneTargetRetentionMs = goneTargetRetentionMs;
+    this.formerServices = new FormerServices(goneTargetRetentionMs);
     this.listener = listener;
   }
 
-  /** Returns the newest state; takes no lock, so a listener's thread can't be waited for. */
+  /**
+   * Returns the newest state. Takes no lock: the listener runs under the lock of this keeper, and
+   * would deadlock with a thread that waits for it here and holds a lock that the listener needs.
+   */
   public FleetState state() {
     return state;
   }
 
-  /** Takes a complete reading of the source. */
-  public void replaceBy(FleetState reading, long nowMs) {
-    change(
+  /** Updates the state with a complete state that was read from the source or from a peer. */
+  public void replaceBy(FleetState complete, long nowMs) {
+    update(
         current -> {
-          noteGap(followedUntil(current), reading.revision());
-          return current.replaceBy(reading);
+          recordGap(gapStart(current), complete.revision());
+          return current.replaceBy(complete);
         },
         nowMs);
   }
 
-  // Of an id that is known from an earlier era only, this node has not followed what the source has
-  // listed in this one: a peer that has can't learn of its end from this node's changes.
-  private static long followedUntil(FleetState state) {
+  // While an entry is known only from an earlier era, this node has not seen what the source listed
+  // under its id in the current era. A peer that has seen it could not learn from this node's
+  // changes that it has ended, so the gap starts with the era.
+  private static long gapStart(FleetState state) {
     long eraStart = Revision.of(Revision.era(state.revision()), 0);
     return state.hasUnconfirmed() ? eraStart : state.revision();
   }
 
-  private void noteGap(long before, long after) {
-    // Peers that lack what has been forgotten get the whole state anyway.
-    gaps.forgetUntil(forgottenRevision);
-    gaps.note(before, after);
+  private void recordGap(long before, long after) {
+    // Gaps below the revision of an evicted record are not needed, since peers with such a revision
+    // get the complete state anyway.
+    gaps.removeUntil(evictedRevision);
+    gaps.add(before, after);
   }
 
+  /** Updates the state with changes that the source has reported. */
   public void apply(StateChanges changes, long nowMs) {
-    change(current -> current.apply(changes), nowMs);
+    update(current -> current.apply(changes), nowMs);
   }
 
   /**
-   * Takes what has changed at a peer since this node asked it, unless this node has gone on since:
-   * the changes might then begin in a gap of the peer. The peer's gaps are not in its answer, so
-   * all that the changes pass over is a gap here.
+   * Merges the changes that a peer has returned for a query of this node. They are ignored if the
+   * state has been updated to another revision since the query, since this revision might lie in a
+   * gap of the peer. The response does not contain the peer's gaps, so all revisions that the
+   * changes cover are recorded as a gap of this node.
    *
-   * @param askedRevision the revision up to which this node knew all when it asked
+   * @param queryRevision the revision up to which this node's state was complete when it sent the
+   *     query
    */
-  public void merge(FleetState changes, long askedRevision, long nowMs) {
-    change(
+  public void merge(FleetState changes, long queryRevision, long nowMs) {
+    update(
         current -> {
-          if (current.revision() != askedRevision) {
+          if (current.revision() != queryRevision) {
             return current;
           }
-          noteGap(askedRevision, changes.revision());
+          recordGap(queryRevision, changes.revision());
           return current.merge(changes);
         },
         nowMs);
   }
 
-  private synchronized void change(UnaryOperator<FleetState> step, long nowMs) {
+  private synchronized void update(UnaryOperator<FleetState> transition, long nowMs) {
     FleetState before = state;
-    state = formerServices.forget(forgetGone(step.apply(before), nowMs), nowMs);
-    timeUnconfirmed(before, nowMs);
+    state = formerServices.removeExpired(evictGone(transition.apply(before), nowMs), nowMs);
+    scheduleUnconfirmedExpiry(before, nowMs);
     listener.onState(before, state, nowMs);
   }
 
-  private void timeUnconfirmed(FleetState before, long nowMs) {
+  private void scheduleUnconfirmedExpiry(FleetState before, long nowMs) {
     boolean hasNewEra = Revision.isOfEarlierEra(before.revision(), state.revision());
     if (!state.hasUnconfirmed()) {
       unconfirmedUntilMs = NEVER;
     } else if (hasNewEra || unconfirmedUntilMs == NEVER) {
-      // A peer may also hand over what it knows from an earlier era within one.
-      unconfirmedUntilMs = nowMs + UNCONFIRMED_MS;
+      // A peer's state of the same era may also contain entries from an earlier era.
+      unconfirmedUntilMs = nowMs + UNCONFIRMED_TTL_MS;
     }
   }
 
-  /** Drops what nobody has written again since the source came back; called with each tick. */
+  /** Treats unconfirmed entries as gone once they have expired; called with each tick. */
   public void onTick(long nowMs) {
     if (nowMs >= unconfirmedUntilMs) {
       unconfirmedUntilMs = NEVER;
-      change(FleetState::withoutUnconfirmed, nowMs);
+      update(FleetState::withoutUnconfirmed, nowMs);
     }
   }
 
-  private FleetState forgetGone(FleetState newer, long nowMs) {
-    List<String> forgotten = new ArrayList<>(0);
+  private FleetState evictGone(FleetState newer, long nowMs) {
+    List<String> evictedIds = new ArrayList<>(0);
     for (TargetRecord target : newer.targets()) {
       if (target.isListed()) {
-        // It may have been gone before: an entry that has lapsed can come back.
+        // The target may have been gone before: an expired entry can be written again.
         goneSinceMs.remove(target.id());
         continue;
       }
       Long since = goneSinceMs.putIfAbsent(target.id(), nowMs);
-      if (since != null && nowMs - since > goneMemoryMs) {
-        forgotten.add(target.id());
-        forgottenRevision = Math.max(forgottenRevision, target.revision());
+      if (since != null && nowMs - since > goneTargetRetentionMs) {
+        evictedIds.add(target.id());
+        evictedRevision = Math.max(evictedRevision, target.revision());
         goneSinceMs.remove(target.id());
       }
     }
-    return forgotten.isEmpty() ? newer : newer.without(forgotten);
+    return evictedIds.isEmpty() ? newer : newer.without(evictedIds);
   }
 
   /**
-   * Returns the encoded changes since a revision that a peer knows, or the encoded state where this
-   * node may not know them all; null if nothing is known.
+   * Returns the encoded changes for a peer, or the encoded complete state if this node may lack
+   * some of these changes; null if the complete state is required and this node has none.
+   *
+   * @param knownRevision the revision up to which the peer's state is complete, 0 if it has none
+   * @param knownVersion the version of the peer's configuration
    */
   @Nullable
   public byte[] encodedSince(long knownRevision, long knownVersion) {
-    // In this order, a state lacks no more than the gaps and the revision read after it tell: a gap
-    // goes only after that revision has risen above it.
+    // The state is read first, then the gaps, then the evicted revision. A gap or an eviction is
+    // recorded before the state that contains it is published, and a gap is removed only after the
+    // evicted revision has reached its end. So the later reads cover all that the state lacks.
     FleetState current = state;
-    boolean inGap = gaps.holds(knownRevision);
-    boolean forgotten = knownRevision <= 0 || knownRevision < forgottenRevision;
-    if (inGap || forgotten) {
+    boolean isInGap = gaps.contains(knownRevision);
+    boolean isEvicted = knownRevision <= 0 || knownRevision < evictedRevision;
+    if (isInGap || isEvicted) {
       return encoded();
     }
     return FleetStateCodec.encodeChanges(current.since(knownRevision, knownVersion));
   }
 
-  /** Returns the encoded state, or null if nothing is known. */
+  /** Returns the encoded complete state, or null if this node has none. */
   @Nullable
   byte[] encoded() {
     FleetState current = state;
--- a/forwarding/src/test/java/io/moorstage/forwarding/state/RevisionGapsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/state/RevisionGapsTest.java
@@ -8,44 +8,44 @@
   private final RevisionGaps gaps = new RevisionGaps();
 
   @Test
-  void endsOfAGapAreNotInIt() {
-    gaps.note(3, 6);
-    assertThat(gaps.holds(3)).isFalse();
-    assertThat(gaps.holds(4)).isTrue();
-    assertThat(gaps.holds(5)).isTrue();
-    assertThat(gaps.holds(6)).isFalse();
+  void gapDoesNotContainItsEnds() {
+    gaps.add(3, 6);
+    assertThat(gaps.contains(3)).isFalse();
+    assertThat(gaps.contains(4)).isTrue();
+    assertThat(gaps.contains(5)).isTrue();
+    assertThat(gaps.contains(6)).isFalse();
   }
 
   @Test
-  void statesThatFollowEachOtherLeaveNoGap() {
-    gaps.note(3, 4);
-    gaps.note(4, 4);
-    gaps.note(4, 2);
+  void statesWithoutRevisionsBetweenThemLeaveNoGap() {
+    gaps.add(3, 4);
+    gaps.add(4, 4);
+    gaps.add(4, 2);
     assertThat(gaps.count()).isEqualTo(0);
   }
 
   @Test
-  void gapIsForgottenOnceItsEndIs() {
-    gaps.note(3, 6);
-    gaps.forgetUntil(5);
-    assertThat(gaps.holds(4)).isTrue();
-    gaps.forgetUntil(6);
-    assertThat(gaps.holds(4)).isFalse();
+  void gapIsRemovedOnceItsEndIsReached() {
+    gaps.add(3, 6);
+    gaps.removeUntil(5);
+    assertThat(gaps.contains(4)).isTrue();
+    gaps.removeUntil(6);
+    assertThat(gaps.contains(4)).isFalse();
   }
 
-  // Each state comes two revisions after the one before: every other revision lies in a gap.
+  // Each state is two revisions after the previous one, so every other revision lies in a gap.
   @Test
-  void manyGapsAreJoinedFromTheOldestOnAndNoneIsLost() {
+  void oldestGapsAreJoinedBeyondTheMaximumAndNoRevisionIsLost() {
     int states = 1_000;
     for (long state = 0; state < states; state++) {
-      gaps.note(2 * state + 1, 2 * state + 3);
+      gaps.add(2 * state + 1, 2 * state + 3);
     }
     assertThat(gaps.count()).isAtMost(RevisionGaps.MAX_GAPS);
     for (long state = 0; state < states; state++) {
-      assertThat(gaps.holds(2 * state + 2)).isTrue();
+      assertThat(gaps.contains(2 * state + 2)).isTrue();
     }
     long newest = 2L * states + 1;
-    assertThat(gaps.holds(newest)).isFalse();
-    assertThat(gaps.holds(newest - 2)).isFalse();
+    assertThat(gaps.contains(newest)).isFalse();
+    assertThat(gaps.contains(newest - 2)).isFalse();
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/state/SourceErasPropertiesTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/state/SourceErasPropertiesTest.java
@@ -20,33 +20,36 @@
 import net.jqwik.api.Property;
 
 /**
- * Nodes that learn of a source from it and from each other, in any order, while the source comes
- * back from older copies of itself and targets start again under their ids.
+ * Random histories of nodes that read the state from the source and from each other, in any order,
+ * while the source is restored from older copies of itself and targets start again under their ids.
+ * Guards against states that revert, and against ended targets that a node keeps listed.
  */
 class SourceErasPropertiesTest {
   private static final int TARGETS = 3;
   private static final int NODES = 3;
   private static final int STEPS = 60;
 
-  /** Longer than all that happens here. */
-  private static final int GONE_MEMORY_MS = 1_000_000;
+  /** Longer than any history here, so that no record is evicted. */
+  private static final int GONE_TARGET_RETENTION_MS = 1_000_000;
 
-  /** Some steps take less than the wait for what a copy lacks, some more. */
-  private static final int LONGEST_STEP_MS = 1_000;
+  /**
+   * One step is shorter than the time after which unconfirmed entries expire, several are longer.
+   */
+  private static final int MAX_STEP_MS = 1_000;
 
-  private static final long[] ONCE_BROKEN = {
+  private static final long[] FORMERLY_FAILING_SEEDS = {
     265_843_076_961_163_314L, -1_740_404, 3_836_298_206_462_154_727L, 4_082_034, -1_577_355
   };
 
-  /** What a target's process is, whatever the source lists. */
+  /** The actual state of a target's process, whatever the source lists. */
   private static final class Process {
     private long startedAtMs;
     private boolean leaving;
     private boolean alive;
   }
 
-  /** The source, its targets and its copies. */
-  private static final class History {
+  /** A simulated source with its targets and its latest copy. */
+  private static final class SimulatedSource {
     private final Process[] processes = new Process[TARGETS];
     private final List<StateChanges> events = new ArrayList<>();
     private Map<String, TargetRecord> listed = new HashMap<>();
@@ -56,7 +59,7 @@
     private int era = 1;
     private long count = 1;
 
-    History() {
+    SimulatedSource() {
       for (int target = 0; target < TARGETS; target++) {
         processes[target] = new Process();
       }
@@ -67,13 +70,13 @@
     }
 
     void step(Random random) {
-      clockMs += 1 + random.nextInt(LONGEST_STEP_MS);
+      clockMs += 1 + random.nextInt(MAX_STEP_MS);
       int target = random.nextInt(TARGETS);
       Process process = processes[target];
       switch (random.nextInt(10)) {
         case 0 -> copy();
         case 1 -> restore();
-        case 2 -> lapse(target);
+        case 2 -> expire(target);
         case 3 -> process.alive = false;
         case 4 -> {
           process.leaving = process.alive;
@@ -94,7 +97,7 @@
       }
     }
 
-    /** A target that lives writes its entry. */
+    /** Writes the entry of a target that is alive. */
     void write(int target) {
       Process process = processes[target];
       if (!process.alive) {
@@ -116,7 +119,7 @@
           id, startedAtMs, "tables", address, "z", 2, phase, false, 0, created, revision);
     }
 
-    private void lapse(int target) {
+    private void expire(int target) {
       String id = "t" + target;
       if (!processes[target].alive && listed.remove(id) != null) {
         count++;
@@ -154,21 +157,21 @@
       copy();
     }
 
-    /** All that live write again, and the entries of the others lapse. */
+    /** Lets all targets that are alive write their entries, and those of the others expire. */
     void settle() {
       for (int target = 0; target < TARGETS; target++) {
         write(target);
-        lapse(target);
+        expire(target);
       }
     }
 
-    FleetState reading() {
+    FleetState completeState() {
       return FleetState.of(
           revision(), ForwardingConfiguration.NONE, listed.values(), Evacuations.NONE);
     }
 
-    /** The changes that a watch after a revision is answered, or null if it is refused. */
-    List<StateChanges> after(long known) {
+    /** Returns the response to a watch after a revision, or null if the watch is rejected. */
+    List<StateChanges> changesAfter(long known) {
       long oldest = events.isEmpty() ? revision() : events.get(0).revision() - 1;
       if (Revision.era(known) != era || known < oldest || known > revision()) {
         return null;
@@ -177,42 +180,44 @@
     }
   }
 
-  /** A node learns of the source from it, by a reading or by changes, or from a peer. */
-  private static void learn(StateKeeper own, History history, StateKeeper peer, Random random)
+  /** Updates a node by a complete state or changes of the source, or from a peer. */
+  private static void updateNode(
+      StateKeeper own, SimulatedSource source, StateKeeper peer, Random random)
       throws StateSourceException {
     switch (random.nextInt(3)) {
-      case 0 -> own.replaceBy(history.reading(), history.clockMs);
-      case 1 -> askPeer(own, peer, history.clockMs);
-      default -> follow(own, history);
+      case 0 -> own.replaceBy(source.completeState(), source.clockMs);
+      case 1 -> queryPeer(own, peer, source.clockMs);
+      default -> follow(own, source);
     }
   }
 
-  private static void askPeer(StateKeeper own, StateKeeper peer, long nowMs)
+  private static void queryPeer(StateKeeper own, StateKeeper peer, long nowMs)
       throws StateSourceException {
-    long asked = own.state().revision();
-    if (peer.state().revision() <= asked) {
+    long queryRevision = own.state().revision();
+    if (peer.state().revision() <= queryRevision) {
       return;
     }
-    FleetStateCodec.PeerState answer = FleetStateCodec.decode(peer.encodedSince(asked, 0));
-    if (answer.complete()) {
-      own.replaceBy(answer.state(), nowMs);
+    FleetStateCodec.PeerState response =
+        FleetStateCodec.decode(peer.encodedSince(queryRevision, 0));
+    if (response.complete()) {
+      own.replaceBy(response.state(), nowMs);
     } else {
-      own.merge(answer.state(), asked, nowMs);
+      own.merge(response.state(), queryRevision, nowMs);
     }
   }
 
-  private static void follow(StateKeeper own, History history) {
-    List<StateChanges> changes = history.after(own.state().revision());
+  private static void follow(StateKeeper own, SimulatedSource source) {
+    List<StateChanges> changes = source.changesAfter(own.state().revision());
     if (changes == null) {
-      own.replaceBy(history.reading(), history.clockMs);
+      own.replaceBy(source.completeState(), source.clockMs);
       return;
     }
     for (StateChanges change : changes) {
-      own.apply(change, history.clockMs);
+      own.apply(change, source.clockMs);
     }
   }
 
-  /** What a node knew of a start never goes back: not its leaving, and not to an earlier start. */
+  /** Checks that no start is replaced by an earlier one, and no draining start is ready again. */
   private static void assertNothingReverts(FleetState before, FleetState after) {
     assertThat(after.revision()).isAtLeast(before.revision());
     for (TargetRecord known : before.targets()) {
@@ -228,48 +233,48 @@
   }
 
   @Property(seed = "20261203", tries = 1_000)
-  void nothingThatANodeKnowsRevertsAndAllAgreeOnceTheSourceHasSettled(@ForAll long seed)
+  void noStateRevertsAndAllNodesAgreeOnceTheSourceHasSettled(@ForAll long seed)
       throws StateSourceException {
-    play(seed);
+    runHistory(seed);
   }
 
-  // A node that knew a later start of an id, from an earlier era or as ended, did not follow what
-  // the
-  // source listed of the start before; peers that had listed that one never heard of its end.
+  // A node that knew a later start of an id, from an earlier era or as ended, ignored what the
+  // source listed of the earlier start. Peers that listed the earlier start never received its end
+  // from that node.
   @Example
-  void historiesThatOnceLeftAnEndedTargetListedLeaveNone() throws StateSourceException {
-    for (long seed : ONCE_BROKEN) {
-      play(seed);
+  void formerlyFailingHistoriesLeaveNoEndedTargetListed() throws StateSourceException {
+    for (long seed : FORMERLY_FAILING_SEEDS) {
+      runHistory(seed);
     }
   }
 
-  private static void play(long seed) throws StateSourceException {
+  private static void runHistory(long seed) throws StateSourceException {
     Random random = new Random(seed);
-    History history = new History();
+    SimulatedSource source = new SimulatedSource();
     List<StateKeeper> nodes = new ArrayList<>();
     for (int node = 0; node < NODES; node++) {
-      nodes.add(new StateKeeper(GONE_MEMORY_MS, (before, after, nowMs) -> {}));
+      nodes.add(new StateKeeper(GONE_TARGET_RETENTION_MS, (before, after, nowMs) -> {}));
     }
     for (int step = 0; step < STEPS; step++) {
-      history.step(random);
+      source.step(random);
       StateKeeper node = nodes.get(random.nextInt(NODES));
       FleetState before = node.state();
-      learn(node, history, nodes.get(random.nextInt(NODES)), random);
-      node.onTick(history.clockMs);
+      updateNode(node, source, nodes.get(random.nextInt(NODES)), random);
+      node.onTick(source.clockMs);
       assertNothingReverts(before, node.state());
     }
-    history.settle();
+    source.settle();
     for (StateKeeper node : nodes) {
-      follow(node, history);
-      node.onTick(history.clockMs + StateKeeper.UNCONFIRMED_MS);
-      assertShows(history, node.state());
+      follow(node, source);
+      node.onTick(source.clockMs + StateKeeper.UNCONFIRMED_TTL_MS);
+      assertMatches(source, node.state());
     }
   }
 
-  private static void assertShows(History history, FleetState state) {
-    assertThat(state.revision()).isEqualTo(history.revision());
+  private static void assertMatches(SimulatedSource source, FleetState state) {
+    assertThat(state.revision()).isEqualTo(source.revision());
     for (int target = 0; target < TARGETS; target++) {
-      Process process = history.processes[target];
+      Process process = source.processes[target];
       TargetRecord known = state.target("t" + target);
       if (!process.alive) {
         assertWithMessage("t%s", target).that(known == null || !known.isListed()).isTrue();
