--- a/forwarding/src/main/java/io/moorstage/forwarding/state/FleetStateCodec.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/FleetStateCodec.java
@@ -19,36 +19,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** The form in which nodes hand each other a {@link FleetState}. */
+/** Encodes and decodes a {@link FleetState} for the transfer between nodes. */
 public final class FleetStateCodec {
   /**
-   * The first byte of a complete state. It changes with the form, so that nodes of two versions
-   * take nothing from each other instead of something wrong.
+   * The first byte of a complete state. It changes with the format, so that nodes with different
+   * formats reject each other's states instead of misreading them.
    */
   private static final int COMPLETE = 6;
 
   /** The first byte of changes since a revision; see {@link #COMPLETE}. */
   private static final int CHANGES = 7;
 
-  /** The most entries of one kind, against forged counts; the largest fleet has 45,000 targets. */
+  /**
+   * The maximum number of entries of one kind, as a protection against forged counts; the largest
+   * fleet has 45,000 targets.
+   */
   private static final int MAX_ENTRIES = 1_000_000;
 
   private FleetStateCodec() {}
 
   /**
-   * What a peer has answered.
+   * A decoded response of a peer.
    *
-   * @param state the state, or what has changed in it
-   * @param complete whether nothing that the peer knows is left out
+   * @param state the complete state of the peer, or the changes of it
+   * @param complete whether {@code state} is the complete state
    */
   public record PeerState(FleetState state, boolean complete) {}
 
-  /** Returns the encoded state. */
+  /** Encodes a complete state. */
   public static byte[] encode(FleetState state) {
     return encode(state, COMPLETE);
   }
 
-  /** Returns encoded changes, as {@link FleetState#since} gives them. */
+  /** Encodes the changes that {@link FleetState#since} returns. */
   public static byte[] encodeChanges(FleetState changes) {
     return encode(changes, CHANGES);
   }
@@ -65,7 +68,7 @@
       }
       writeEvacuations(state.evacuations(), out);
     } catch (IOException e) {
-      throw new IllegalStateException("memory can be written to", e);
+      throw new IllegalStateException("state cannot be encoded", e);
     }
     return bytes.toByteArray();
   }
@@ -81,16 +84,16 @@
       out.writeInt(route.timeoutMs());
       out.writeBoolean(route.repeatable());
       out.writeInt(route.services().size());
-      for (WeightedService part : route.services()) {
-        out.writeUTF(part.service());
-        out.writeInt(part.weight());
+      for (WeightedService weighted : route.services()) {
+        out.writeUTF(weighted.service());
+        out.writeInt(weighted.weight());
       }
     }
     out.writeInt(configuration.coldStartsByService().size());
-    for (Map.Entry<String, ColdStart> limited : configuration.coldStartsByService().entrySet()) {
-      out.writeUTF(limited.getKey());
-      out.writeInt(limited.getValue().durationMs());
-      out.writeInt(limited.getValue().openingsPerS());
+    for (Map.Entry<String, ColdStart> coldStart : configuration.coldStartsByService().entrySet()) {
+      out.writeUTF(coldStart.getKey());
+      out.writeInt(coldStart.getValue().durationMs());
+      out.writeInt(coldStart.getValue().openingsPerS());
     }
   }
 
@@ -119,9 +122,9 @@
   }
 
   /**
-   * Reads a state or changes of one.
+   * Decodes a complete state, or the changes of one.
    *
-   * @throws StateSourceException if the bytes are neither
+   * @throws StateSourceException if the bytes are malformed or of another format
    */
   public static PeerState decode(byte[] bytes) throws StateSourceException {
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
@@ -139,8 +142,7 @@
       FleetState state = FleetState.of(revision, configuration, targets, readEvacuations(in));
       return new PeerState(state, format == COMPLETE);
     } catch (IOException e) {
-      throw new StateSourceException(
-          StateSourceFailure.MALFORMED, "a peer's state is malformed", e);
+      throw new StateSourceException(StateSourceFailure.MALFORMED, "peer state is malformed", e);
     }
   }
 
@@ -162,9 +164,9 @@
       int port = in.readInt();
       int timeoutMs = in.readInt();
       boolean repeatable = in.readBoolean();
-      int parts = readCount(in);
+      int serviceCount = readCount(in);
       List<WeightedService> services = new ArrayList<>(1);
-      for (int j = 0; j < parts; j++) {
+      for (int j = 0; j < serviceCount; j++) {
         services.add(new WeightedService(in.readUTF(), in.readInt()));
       }
       routes.add(new ForwardingRoute(address, port, timeoutMs, repeatable, services));
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateSource.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateSource.java
@@ -4,33 +4,33 @@
 import io.moorstage.core.state.StateChanges;
 
 /**
- * Where configuration and targets come from: a service that can only be read. Its acknowledgement
- * of a configuration is the acceptance.
+ * The source of the configuration and the list of targets: a service that can only be read. A
+ * configuration is accepted once the source has acknowledged it.
  */
 public interface StateSource {
 
   /**
-   * Reads everything.
+   * Reads the complete state.
    *
-   * @throws StateSourceException if the source gives no usable answer
+   * @throws StateSourceException if the source does not return a usable response
    */
   FleetState readAll() throws StateSourceException;
 
   /**
-   * Waits for changes.
+   * Waits for changes after a revision and returns them.
    *
-   * @param afterRevision the {@link io.moorstage.core.state.Revision} up to which all changes are
-   *     known
+   * @param afterRevision the {@link io.moorstage.core.state.Revision} up to which the caller's
+   *     state is complete
    * @param waitMs how long to wait for a change, in milliseconds
-   * @return the changes, none if there were none in that time
-   * @throws StateSourceException if the source gives no usable answer, or no longer knows the
-   *     changes since that revision, or is in another era
+   * @return the changes; empty if there were none in that time
+   * @throws StateSourceException if the source does not return a usable response, no longer holds
+   *     the changes since that revision, or is in another era
    */
   StateChanges awaitChanges(long afterRevision, int waitMs) throws StateSourceException;
 
-  /** Returns how many items were left out so far, since they could not be read. */
+  /** Returns the number of items skipped so far because they could not be read. */
   long unusableItems();
 
-  /** Returns how many answers so far named no era, or none that could be read. */
+  /** Returns the number of responses so far whose era was missing or could not be read. */
   long answersWithoutEra();
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateSourceException.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateSourceException.java
@@ -2,16 +2,14 @@
 
 import io.moorstage.core.error.MoorstageException;
 
-/** A state source gave no usable answer. */
+/** Thrown if the configuration source, or a peer, does not return a usable state. */
 public final class StateSourceException extends MoorstageException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception without a cause. */
   public StateSourceException(StateSourceFailure failure, String detail) {
     super(failure, detail);
   }
 
-  /** Creates an exception with a cause. */
   public StateSourceException(StateSourceFailure failure, String detail, Throwable cause) {
     super(failure, detail, cause);
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateSourceFailure.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateSourceFailure.java
@@ -3,19 +3,22 @@
 import io.moorstage.core.error.Failure;
 import java.util.Locale;
 
-/** Why a state source gave no usable answer. */
+/** Reasons why the configuration source, or a peer, did not return a usable state. */
 public enum StateSourceFailure implements Failure {
-  /** No connection, or no answer in time. */
+  /** The connection failed, or there was no response within the time-out. */
   UNREACHABLE,
-  /** The source refused the call; nothing was done. */
+  /** The request was rejected with an error status and was not carried out. */
   REFUSED,
-  /** The source no longer knows the changes since the revision asked for. */
+  /** The source no longer holds the changes since the requested revision. */
   HISTORY_GONE,
-  /** The source has come back from an older copy since it was followed: all must be read anew. */
+  /**
+   * The source was restored from an older copy and has entered a later era; the complete state must
+   * be read again.
+   */
   ERA_CHANGED,
-  /** The answer is of an earlier era of the source than the one that is known. */
+  /** The response is of an earlier era of the source than the era that is known. */
   OUTDATED,
-  /** The answer is cut off, malformed or too large. */
+  /** The response is truncated, malformed or too large. */
   MALFORMED;
 
   @Override
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/package-info.java
@@ -1,9 +1,8 @@
 /**
- * This node's copy of the state: where states come from, the keeper of the newest one, the form in
- * which nodes hand it to each other, and when a peer is asked for it.
+ * This node's copy of the fleet state: the interface of the configuration source, the keeper of the
+ * newest state, the encoding in which nodes send it to each other, and the queries to peers.
  *
- * <p>Owns the one current {@link io.moorstage.core.state.FleetState} of the process. The
- * configuration source itself is behind {@link io.moorstage.forwarding.state.StateSource}, which an
- * adapter implements.
+ * <p>Owns the current {@link io.moorstage.core.state.FleetState} of the process. An adapter for the
+ * configuration source implements {@link io.moorstage.forwarding.state.StateSource}.
  */
 package io.moorstage.forwarding.state;
