--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
@@ -17,24 +17,24 @@
 import javax.annotation.Nullable;
 
 /**
- * An agent's copy of the state in its encoded form, for balancers that start while the source is
- * away. Thread-safe.
+ * An agent's copy of the encoded fleet state, for balancers that start while the source is
+ * unavailable. Thread-safe.
  */
 final class AgentStateCopy
     implements FirstStateReader.CopyTaker, PeerStateFetcher.StateHandler, HttpEndpoint.Content {
   /**
-   * Time between two copies, in milliseconds. Not measured; chosen so that steady changes cost a
-   * balancer one transfer a second for each of the four copies of its zone.
+   * The minimum time between two fetches of the state, in milliseconds. Under continuous changes, a
+   * balancer thus serves one transfer a second for each of the four copies of its zone.
    */
   private static final int COPY_INTERVAL_MS = 1_000;
 
   /**
-   * How long the copy may be stale before a balancer elsewhere is asked, in milliseconds. Not
-   * measured; chosen so that the own zone's balancers had six regular beacons to offer theirs.
+   * How long the copy may be stale before it is fetched from a balancer of another zone, in
+   * milliseconds. In this time, the balancers of the own zone send six regular beacons.
    */
-  private static final int OTHER_ZONE_AFTER_MS = 6 * BalancerBeacons.PERIOD_MS;
+  private static final int OTHER_ZONE_DELAY_MS = 6 * BalancerBeacons.PERIOD_MS;
 
-  /** Where the revision stands in an encoded state, in bytes. */
+  /** The offset of the revision in an encoded state, in bytes. */
   private static final int REVISION_OFFSET = 1;
 
   private final String zone;
@@ -42,7 +42,7 @@
   private final PeerStateFetcher fetcher;
   @Nullable private volatile byte[] encoded;
   private volatile long revision;
-  private volatile long copiedAtMs;
+  private volatile long lastFetchAtMs;
   private volatile long staleSinceMs;
 
   AgentStateCopy(ForwardingSettings settings, ForwardingMetrics metrics, EventLog log) {
@@ -52,17 +52,17 @@
     this.fetcher = new PeerStateFetcher(client, () -> PeerStateQuery.COMPLETE_STATE, this, log);
   }
 
-  /** Starts the thread that asks balancers. */
+  /** Starts the thread that fetches the state from balancers. */
   void start() {
     fetcher.start();
   }
 
-  /** Returns the source's revision of the copy, 0 while there is none. */
+  /** Returns the source's revision of the copy, or 0 if there is none. */
   long revision() {
     return revision;
   }
 
-  /** Returns the encoded state, or null while there is none. */
+  /** Returns the encoded state, or null if there is none. */
   @Override
   @Nullable
   public byte[] body(@Nullable String query) {
@@ -70,8 +70,9 @@
   }
 
   /**
-   * A balancer has advertised its revision. Bytes between zones cost, so the copy comes from the
-   * same zone as long as there is a balancer.
+   * Fetches the state of a balancer that advertises a newer revision. Traffic between zones is
+   * charged, so a balancer of another zone is used only if the copy has been stale for {@link
+   * #OTHER_ZONE_DELAY_MS}.
    */
   void onBeacon(int balancer, PeerMessage.BalancerBeacon beacon, long nowMs) {
     if (beacon.revision() <= revision || !beacon.keepsCopy()) {
@@ -79,9 +80,9 @@
       return;
     }
     boolean sameZone = beacon.zone().equals(zone);
-    boolean waitedLong = nowMs - staleSinceMs > OTHER_ZONE_AFTER_MS;
-    if ((sameZone || waitedLong) && nowMs - copiedAtMs >= COPY_INTERVAL_MS) {
-      copiedAtMs = nowMs;
+    boolean otherZoneAllowed = nowMs - staleSinceMs > OTHER_ZONE_DELAY_MS;
+    if ((sameZone || otherZoneAllowed) && nowMs - lastFetchAtMs >= COPY_INTERVAL_MS) {
+      lastFetchAtMs = nowMs;
       fetcher.fetch(balancer);
     }
   }
@@ -90,14 +91,15 @@
   public void onPeerState(int peerAddress, PeerStateQuery query, byte[] peerState)
       throws StateSourceException {
     if (peerState.length < REVISION_OFFSET + Long.BYTES) {
-      throw new StateSourceException(StateSourceFailure.MALFORMED, "a peer's state is cut off");
+      throw new StateSourceException(
+          StateSourceFailure.MALFORMED, "peer state truncated: " + peerState.length + " bytes");
     }
     if (take(peerState)) {
       metrics.count(ForwardingCounter.PEER_STATES);
     }
   }
 
-  /** Keeps an encoded state if it is newer than the copy that is held; returns whether it is. */
+  /** Stores an encoded state if it is newer than the current copy, and returns whether it is. */
   @Override
   public synchronized boolean take(byte[] newer) {
     long newerRevision = ByteBuffer.wrap(newer).getLong(REVISION_OFFSET);
