--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentOutput.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentOutput.java
@@ -10,7 +10,10 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Carries out an agent's decisions; called under its lock, which guards the senders too. */
+/**
+ * Executes an agent's decisions. The methods are called under the agent's lock, which also guards
+ * the senders.
+ */
 final class AgentOutput implements AgentActions {
   private final UdpPort targetPort;
   private final InetSocketAddress target;
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/ClientSender.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/ClientSender.java
@@ -8,8 +8,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Sends segments to the clients of flows. Resets share one buffer: they are sent under the lock of
- * the balancer's or agent's decisions.
+ * Sends segments to the clients of flows. Resets share one buffer, so the caller sends them under
+ * the lock of the balancer or agent.
  */
 final class ClientSender {
   private final UdpPort port;
@@ -20,8 +20,8 @@
   /**
    * Creates a sender.
    *
-   * @param port the port to send from; bound before the first segment
-   * @param clientPort the UDP port at which all clients take segments
+   * @param port the port to send from; must be bound before the first segment is sent
+   * @param clientPort the UDP port at which all clients receive segments
    */
   ClientSender(UdpPort port, int clientPort, SegmentCodec segments) {
     this.port = port;
@@ -29,7 +29,7 @@
     this.segments = segments;
   }
 
-  /** Sends a segment to a flow's client; the datagram's position stays. */
+  /** Sends a segment to a flow's client. The position of the datagram does not change. */
   void send(FlowId flow, ByteBuffer datagram) {
     port.send(datagram.duplicate(), clients.get(flow.clientAddress()));
   }
@@ -37,7 +37,7 @@
   /**
    * Sends a reset to a flow's client.
    *
-   * @param sequence the sequence number, one that the client expects
+   * @param sequence the sequence number of the reset, which the client must expect
    */
   void sendReset(FlowId flow, int sequence) {
     resetBuffer.clear();
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/DaemonEndpoints.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/DaemonEndpoints.java
@@ -9,8 +9,9 @@
 import java.io.IOException;
 
 /**
- * The HTTP servers of a daemon: readiness, the state for other nodes, metrics. They cost as much
- * processor time as all else at the start, so a daemon starts them after its data path.
+ * The HTTP servers of a daemon for readiness probes, for the state that other nodes fetch, and for
+ * metrics. Their start takes as much processor time as the rest of the startup, so a daemon starts
+ * them after its data path.
  */
 final class DaemonEndpoints {
   private static final String READINESS_PATH = "/";
@@ -22,10 +23,10 @@
   private final EventLog log;
 
   /**
-   * Creates endpoints; nothing is bound before {@link #start()}.
+   * Creates endpoints. No port is bound before {@link #start()}.
    *
-   * @param readiness an empty body while the daemon is ready, null while it is not
-   * @param state the encoded state, null while there is none
+   * @param readiness returns an empty body if the daemon is ready, null if it is not
+   * @param state returns the encoded state, null if there is none
    */
   DaemonEndpoints(
       ForwardingSettings settings,
@@ -41,9 +42,10 @@
   }
 
   /**
-   * Binds and starts the servers. Without the port of the metrics the daemon goes on.
+   * Binds and starts the servers. If the metrics port can't be bound, the failure is logged and the
+   * daemon runs without metrics.
    *
-   * @throws IOException if the port of readiness or state can't be bound
+   * @throws IOException if the readiness port or the state port can't be bound
    */
   void start() throws IOException {
     HttpEndpoint.start(settings.readiness(), READINESS_PATH, readiness);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/ForwardingDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/ForwardingDaemon.java
@@ -14,16 +14,16 @@
   void start() throws IOException;
 
   /**
-   * Serves until {@link #stop()} has finished its work. The ports that are not the data path's are
-   * bound a moment later than the others.
+   * Runs the daemon until the stop that {@link #stop()} has started is complete. The HTTP ports are
+   * bound during the run, after the ports of the data path.
    *
-   * @throws IOException if one of them can't be bound
+   * @throws IOException if the readiness port or the state port can't be bound
    */
   void run() throws InterruptedException, IOException;
 
-  /** Begins a planned stop; returns at once. */
+  /** Starts a planned stop without waiting for its end. */
   void stop();
 
-  /** Takes settings that may have changed. */
-  void reload(ForwardingSettings newer);
+  /** Applies the seeds of reloaded settings. */
+  void reload(ForwardingSettings newSettings);
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerMessageReceiver.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerMessageReceiver.java
@@ -10,12 +10,12 @@
 import io.moorstage.forwarding.peer.PeerMessageCodec;
 import java.nio.ByteBuffer;
 
-/** Takes the datagrams of other nodes, and hands on those that are messages. */
+/** Receives the datagrams of other nodes, decodes them and passes the valid messages on. */
 abstract class PeerMessageReceiver implements UdpPort.Receiver {
-  /** The datagram is cut off, or of no known type. */
+  /** The log detail of a datagram that is truncated or of an unknown type. */
   static final String NO_MESSAGE = "no-message";
 
-  /** The datagram is a message, but what it carries is no segment. */
+  /** The log detail of a message whose content is not a valid segment. */
   static final String NO_SEGMENT = "no-segment";
 
   private final ForwardingMetrics metrics;
@@ -39,14 +39,14 @@
   }
 
   /**
-   * Takes a message; one that is not meant for this program is passed over.
+   * Handles a message. Messages of types that this program does not use are ignored.
    *
-   * @param sender the sending node's IPv4 address
+   * @param sender the IPv4 address of the sending node
    */
   abstract void onMessage(int sender, PeerMessage message, long nowMs);
 
   /**
-   * Counts a datagram that can't be used, and logs it with its sender at most once a second.
+   * Counts a malformed datagram. The log gets at most one line a second, with the latest sender.
    *
    * @param detail {@link #NO_MESSAGE} or {@link #NO_SEGMENT}
    */
