--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
@@ -10,48 +10,55 @@
 import io.moorstage.forwarding.settings.ForwardingSettings;
 
 /**
- * An agent's beacons: its load, its target's condition, and the balancers it hears. Thread-safe.
- * Whom do they go to?
+ * Sends an agent's beacons, which report its load, the condition of its target and the live
+ * balancers of its directory, and selects their receivers. Thread-safe.
  *
- * <p>Inputs: the balancers that are known, their zones, and which of them have forwarded a segment
- * within 2 s. Rule: to the close balancers when {@link LoadReports} says so, and once a period to
- * {@link #OTHERS} other, or to {@link #OTHERS_WHILE_LOOKING} while the agent starts or hears no
- * balancer. Reason: an agent at the largest size sends 5 messages a second instead of 340 to 1,700
- * (docs/PLATFORM.md), and is still heard from by whoever uses it.
+ * <p>Inputs: the known balancers, their zones, and which of them have forwarded a segment within 2
+ * s.
+ *
+ * <p>The close balancers ({@link PeerDirectory#close}) get a beacon when {@link LoadReports} finds
+ * one due. In addition, {@link #OTHER_BALANCERS} other balancers get one in each period, or {@link
+ * #OTHER_BALANCERS_IN_DISCOVERY} while the agent starts or has no live balancer in its directory.
+ *
+ * <p>In the largest fleet an agent therefore sends 5 messages a second instead of 340 to 1,700
+ * (docs/PLATFORM.md), and every balancer that uses the agent still receives its beacons.
  */
 final class AgentBeacons {
   /**
-   * The period while an agent starts, in milliseconds: nodes that start together find each other
-   * sooner. Not measured; chosen so that a balancer that waits 120 ms for a peer's state hears of
-   * one.
+   * The beacon period while an agent starts, in milliseconds. It is short so that nodes that start
+   * together discover each other sooner: a starting balancer waits 120 ms for a peer's state and
+   * receives a beacon in that time.
    */
-  private static final int FIRST_PERIOD_MS = 100;
+  private static final int STARTUP_PERIOD_MS = 100;
 
-  /** For how long an agent starts: balancers are up half a second after it (docs/PLATFORM.md). */
-  private static final int FIRST_FOR_MS = 1_500;
+  /**
+   * How long an agent counts as starting, in milliseconds. Balancers take half a second longer to
+   * start than agents (docs/PLATFORM.md).
+   */
+  private static final int STARTUP_MS = 1_500;
 
   /**
-   * Balancers of other zones that get a beacon each time. Not measured; chosen so that what an
-   * agent sends does not grow with the fleet.
+   * The number of balancers that are not close and get a beacon in each period. It is fixed so that
+   * the traffic of an agent does not grow with the fleet.
    */
-  private static final int OTHERS = 1;
+  private static final int OTHER_BALANCERS = 1;
 
-  /** The same while this node looks for its own balancers. */
-  private static final int OTHERS_WHILE_LOOKING = 4;
+  /** The same number while this agent discovers the balancers of its zone. */
+  private static final int OTHER_BALANCERS_IN_DISCOVERY = 4;
 
   private final ForwardingSettings settings;
   private final FlowAgent agent;
   private final PeerDirectory balancers;
   private final AgentStateCopy copy;
   private final PeerSender sender;
-  private final LoadReports reports = new LoadReports();
+  private final LoadReports reportSchedule = new LoadReports();
   private final TickTimer othersTimer = new TickTimer();
   private volatile boolean stopping;
 
   /**
-   * Creates beacons.
+   * Creates the beacons of an agent.
    *
-   * @param sender sends them; no one else uses it
+   * @param sender sends the beacons; not shared, since it is not thread-safe
    */
   AgentBeacons(
       ForwardingSettings settings,
@@ -66,34 +73,34 @@
     this.sender = sender;
   }
 
-  /** Sends the first beacons. */
+  /** Sends beacons at the start of the agent, to as many balancers as during discovery. */
   void sendFirst(long nowMs) {
-    sendDue(BalancerBeacons.PERIOD_MS, OTHERS_WHILE_LOOKING, nowMs);
+    sendDue(BalancerBeacons.PERIOD_MS, OTHER_BALANCERS_IN_DISCOVERY, nowMs);
   }
 
   /**
-   * Sends the beacons that are due; called with each tick.
+   * Sends the beacons that are due. The main loop calls this at each tick.
    *
-   * @param runningForMs how long the agent has run
+   * @param runningForMs the time since the start of the agent, in milliseconds
    */
   void sendRegular(long runningForMs, long nowMs) {
-    boolean starting = runningForMs < FIRST_FOR_MS;
-    int periodMs = starting ? FIRST_PERIOD_MS : BalancerBeacons.PERIOD_MS;
-    boolean looking = starting || balancers.liveCount(nowMs) == 0;
-    sendDue(periodMs, looking ? OTHERS_WHILE_LOOKING : OTHERS, nowMs);
+    boolean starting = runningForMs < STARTUP_MS;
+    int periodMs = starting ? STARTUP_PERIOD_MS : BalancerBeacons.PERIOD_MS;
+    boolean discovering = starting || balancers.liveCount(nowMs) == 0;
+    sendDue(periodMs, discovering ? OTHER_BALANCERS_IN_DISCOVERY : OTHER_BALANCERS, nowMs);
   }
 
-  private synchronized void sendDue(int periodMs, int others, long nowMs) {
+  private synchronized void sendDue(int periodMs, int otherCount, long nowMs) {
     int busyFlows = agent.busyFlows();
     PeerMessage beacon = null;
     for (int balancer : balancers.close(nowMs)) {
-      if (reports.takeIfDue(balancer, busyFlows, periodMs, nowMs)) {
+      if (reportSchedule.takeIfDue(balancer, busyFlows, periodMs, nowMs)) {
         beacon = beacon == null ? beaconNow(nowMs) : beacon;
         sender.sendBeacon(beacon, balancer);
       }
     }
     if (othersTimer.takeIfDue(periodMs, nowMs)) {
-      for (int balancer : balancers.others(others, nowMs)) {
+      for (int balancer : balancers.others(otherCount, nowMs)) {
         sender.sendBeacon(beaconNow(nowMs), balancer);
       }
     }
@@ -104,7 +111,7 @@
     sender.sendBeacon(beaconNow(nowMs), address);
   }
 
-  /** Marks all beacons from now on as those of an agent that is about to end. */
+  /** Marks the agent as stopping in all further beacons. */
   void markStopping() {
     stopping = true;
   }
@@ -113,11 +120,11 @@
     return stopping;
   }
 
-  /** Sends the last beacons, which say that the agent is about to end. */
+  /** Sends a last beacon to each close balancer; it reports that the agent is stopping. */
   void sendLast(long nowMs) {
-    PeerMessage last = beaconNow(nowMs);
+    PeerMessage beacon = beaconNow(nowMs);
     for (int balancer : balancers.close(nowMs)) {
-      send(last, balancer);
+      send(beacon, balancer);
     }
   }
 
@@ -125,14 +132,14 @@
     sender.sendBeacon(beacon, address);
   }
 
-  /** A balancer wants a report at most once in an interval, in milliseconds. */
-  synchronized void onReportInterval(int balancer, int intervalMs) {
-    reports.wanted(balancer, intervalMs);
+  /** Sets the shortest interval at which a balancer accepts load reports, in milliseconds. */
+  synchronized void setMinReportInterval(int balancer, int intervalMs) {
+    reportSchedule.wanted(balancer, intervalMs);
   }
 
-  /** Forgets balancers of long ago. */
+  /** Evicts balancers that have not been sent a load report for long. */
   synchronized void sweep(long nowMs) {
-    reports.sweep(nowMs);
+    reportSchedule.sweep(nowMs);
   }
 
   private PeerMessage beaconNow(long nowMs) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
@@ -25,14 +25,17 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** Runs beside a target: hands it the segments of its flows and sends its answers to clients. */
+/**
+ * Runs on the machine of a target: delivers the segments of its flows to it and sends its responses
+ * to clients.
+ */
 public final class AgentDaemon implements ForwardingDaemon {
 
   /**
-   * How long after the data path the HTTP servers start, in milliseconds: they cost as much
-   * processor time as all else at the start. Not measured by itself.
+   * How long after the data path the HTTP servers start, in milliseconds. They are delayed because
+   * their start takes as much processor time as the rest of the startup.
    */
-  private static final int ENDPOINTS_AFTER_MS = 250;
+  private static final int ENDPOINT_DELAY_MS = 250;
 
   private final ForwardingSettings settings;
   private final SegmentCodec segments;
@@ -45,12 +48,12 @@
   private final PeerDirectory balancers;
   private final AgentStateCopy copy;
   private final AgentBeacons beacons;
-  private final AgentMessages messages;
+  private final AgentMessageHandler messageHandler;
   private final FirstStateReader firstReader;
   private final DaemonEndpoints endpoints;
   private volatile boolean stopped;
 
-  /** Creates a daemon; nothing is bound before {@link #start()}. */
+  /** Creates a daemon. No port is bound before {@link #start()}. */
   public AgentDaemon(
       ForwardingSettings settings, SegmentCodec segments, StateSource source, EventLog log) {
     this.settings = settings;
@@ -59,37 +62,37 @@
     metrics = new ForwardingMetrics(log);
     peerPort = new UdpPort(Endpoint.of(settings.address(), settings.peerPort()), log);
     targetPort = new UdpPort(settings.egress(), log);
-    AddressCache peers = new AddressCache(settings.peerPort());
+    AddressCache peerAddresses = new AddressCache(settings.peerPort());
     InetSocketAddress target =
         UdpPort.socketAddress(settings.target().ipv4(), settings.target().port());
     targetCheck = new TargetCheck(target, this::onTargetCheck);
-    agent = createAgent(target, peers);
+    agent = createAgent(target, peerAddresses);
     balancers = new PeerDirectory(settings.address(), settings.zone());
     copy = new AgentStateCopy(settings, metrics, log);
-    PeerSender beaconSender = new PeerSender(peerPort, peers, metrics);
+    PeerSender beaconSender = new PeerSender(peerPort, peerAddresses, metrics);
     beacons = new AgentBeacons(settings, agent, balancers, copy, beaconSender);
-    messages = createMessages(peers);
-    firstReader = new FirstStateReader(source, messages::isFleetHeard, copy, log);
+    messageHandler = createMessageHandler(peerAddresses);
+    firstReader = new FirstStateReader(source, messageHandler::isFleetDiscovered, copy, log);
     endpoints = new DaemonEndpoints(settings, this::readiness, copy, metrics, log);
-    nameGauges(source);
+    registerGauges(source);
   }
 
-  private FlowAgent createAgent(InetSocketAddress target, AddressCache peers) {
-    PeerSender sender = new PeerSender(peerPort, peers, metrics);
+  private FlowAgent createAgent(InetSocketAddress target, AddressCache peerAddresses) {
+    PeerSender sender = new PeerSender(peerPort, peerAddresses, metrics);
     ClientSender clients = new ClientSender(targetPort, settings.clientEndpoint().port(), segments);
     AgentOutput output = new AgentOutput(targetPort, target, targetCheck, clients, sender);
     long nowMs = MonotonicClock.nowMs();
     return new FlowAgent(settings.policy(), settings.service(), output, metrics, nowMs);
   }
 
-  private AgentMessages createMessages(AddressCache peers) {
-    PeerSender answers = new PeerSender(peerPort, peers, metrics);
-    AgentMessages.Parts parts =
-        new AgentMessages.Parts(settings.address(), balancers, beacons, copy);
-    return new AgentMessages(parts, answers, agent, segments, metrics, log);
+  private AgentMessageHandler createMessageHandler(AddressCache peerAddresses) {
+    PeerSender responseSender = new PeerSender(peerPort, peerAddresses, metrics);
+    AgentMessageHandler.Collaborators collaborators =
+        new AgentMessageHandler.Collaborators(settings.address(), balancers, beacons, copy);
+    return new AgentMessageHandler(collaborators, responseSender, agent, segments, metrics, log);
   }
 
-  private void nameGauges(StateSource source) {
+  private void registerGauges(StateSource source) {
     metrics.gauge(ForwardingGauge.FLOWS, agent::flowCount);
     metrics.gauge(ForwardingGauge.REQUESTS, agent::busyFlows);
     metrics.gauge(ForwardingGauge.BALANCERS, () -> balancers.liveCount(MonotonicClock.nowMs()));
@@ -105,7 +108,7 @@
     targetPort.bind();
     peerPort.bind();
     targetPort.start("target-segments", this::onTargetDatagram);
-    peerPort.start("peer-messages", messages);
+    peerPort.start("peer-messages", messageHandler);
     reload(settings);
     beacons.sendFirst(MonotonicClock.nowMs());
     copy.start();
@@ -116,8 +119,8 @@
   }
 
   @Override
-  public void reload(ForwardingSettings newer) {
-    balancers.addSeeds(newer.seeds(), MonotonicClock.nowMs());
+  public void reload(ForwardingSettings newSettings) {
+    balancers.addSeeds(newSettings.seeds(), MonotonicClock.nowMs());
   }
 
   @Override
@@ -129,8 +132,8 @@
       Thread.sleep(MainLoop.TICK_MS);
       long nowMs = MonotonicClock.nowMs();
       agent.onTick(nowMs);
-      // Not before the data path, of which they would take the processor time.
-      if (!serving && nowMs - startedAtMs > ENDPOINTS_AFTER_MS) {
+      // The HTTP servers start late so that they do not take processor time from the data path.
+      if (!serving && nowMs - startedAtMs > ENDPOINT_DELAY_MS) {
         serving = true;
         endpoints.start();
       }
@@ -143,15 +146,17 @@
     log.event("stopped", "flows", agent.flowCount());
   }
 
-  // The target is reached through this process alone, so it ends at once and is back the sooner.
+  // The agent does not drain: clients reach the target only through this process, so an immediate
+  // end shortens the time until a restarted agent is available.
   @Override
   public void stop() {
     beacons.markStopping();
-    // A machine that leaves stops its agent after its target: then nobody waits for either.
+    // When a machine is shut down, its target stops before the agent. The check detects this, so
+    // the last beacons report the end of the target and no node waits for target or agent.
     targetCheck.runTwice();
     beacons.sendLast(MonotonicClock.nowMs());
     log.event("stopping", "flows", agent.flowCount());
-    // Only now: the process ends with the loop that looks at this, and not before the last beacons.
+    // The main loop ends the process when it reads this flag, so the last beacons are sent first.
     stopped = true;
   }
 
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessageHandler.java
@@ -17,42 +17,50 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Takes what other nodes send to an agent. */
-final class AgentMessages extends PeerMessageReceiver {
-  private final Parts parts;
-  private final PeerSender answers;
+/** Handles the messages that other nodes send to an agent. */
+final class AgentMessageHandler extends PeerMessageReceiver {
+  private final Collaborators collaborators;
+  private final PeerSender responseSender;
   private final FlowAgent agent;
   private final SegmentCodec segments;
   private final EventLog log;
-  private volatile boolean fleetHeard;
+  private volatile boolean fleetDiscovered;
 
-  /** Who hears of what beacons say; {@code ownAddress} is that of this machine. */
-  record Parts(
+  /**
+   * The components that process the contents of messages.
+   *
+   * @param ownAddress the IPv4 address of this machine
+   */
+  record Collaborators(
       int ownAddress, PeerDirectory balancers, AgentBeacons beacons, AgentStateCopy copy) {}
 
   /**
-   * Creates a receiver.
+   * Creates a handler.
    *
-   * @param answers sends answers to questions for flows; no one else uses it
+   * @param responseSender sends the responses to flow queries; not shared, since it is not
+   *     thread-safe
    */
-  AgentMessages(
-      Parts parts,
-      PeerSender answers,
+  AgentMessageHandler(
+      Collaborators collaborators,
+      PeerSender responseSender,
       FlowAgent agent,
       SegmentCodec segments,
       ForwardingMetrics metrics,
       EventLog log) {
     super(metrics, log);
-    this.parts = parts;
-    this.answers = answers;
+    this.collaborators = collaborators;
+    this.responseSender = responseSender;
     this.agent = agent;
     this.segments = segments;
     this.log = log;
   }
 
-  /** Returns whether the state, or a node that may have it, is known by now. */
-  boolean isFleetHeard() {
-    return fleetHeard || parts.copy.revision() > 0;
+  /**
+   * Returns whether this agent has a copy of the state, or has discovered a node that may have it:
+   * a balancer with a state, or an agent that lists live balancers in its beacon.
+   */
+  boolean isFleetDiscovered() {
+    return fleetDiscovered || collaborators.copy.revision() > 0;
   }
 
   @Override
@@ -60,7 +68,7 @@
     if (message instanceof PeerMessage.Forward forward) {
       onForward(sender, forward, nowMs);
     } else if (message instanceof PeerMessage.Ask ask) {
-      onAsk(sender, ask, nowMs);
+      onQuery(sender, ask, nowMs);
     } else if (message instanceof PeerMessage.BalancerBeacon beacon) {
       onBalancerBeacon(sender, beacon, nowMs);
     } else if (message instanceof PeerMessage.AgentBeacon beacon) {
@@ -74,46 +82,48 @@
       onMalformed(balancer, NO_SEGMENT, nowMs);
       return;
     }
-    parts.balancers.used(balancer, nowMs);
+    collaborators.balancers.used(balancer, nowMs);
     agent.onForwarded(balancer, forward.terms(), segment, forward.datagram(), nowMs);
   }
 
-  private void onAsk(int balancer, PeerMessage.Ask ask, long nowMs) {
-    List<PeerMessage.FlowAnswer> known = new ArrayList<>(ask.flows().size());
+  private void onQuery(int balancer, PeerMessage.Ask ask, long nowMs) {
+    List<PeerMessage.FlowAnswer> results = new ArrayList<>(ask.flows().size());
     for (FlowId flow : ask.flows()) {
-      FlowQueryResult knowledge = agent.onQuery(flow, nowMs);
-      known.add(new PeerMessage.FlowAnswer(flow, knowledge, parts.ownAddress));
+      FlowQueryResult result = agent.onQuery(flow, nowMs);
+      results.add(new PeerMessage.FlowAnswer(flow, result, collaborators.ownAddress));
     }
-    answers.send(new PeerMessage.Answer(known), balancer);
+    responseSender.send(new PeerMessage.Answer(results), balancer);
   }
 
-  // Another agent has this one among its seeds, and looks for balancers.
+  // The other agent has this agent among its seeds. It lists no balancers while it is still
+  // discovering them.
   private void onAgentBeacon(int peer, PeerMessage.AgentBeacon beacon, long nowMs) {
-    boolean looksForBalancers = beacon.balancers().length == 0;
-    fleetHeard |= !looksForBalancers;
-    parts.balancers.addAdvertised(beacon.balancers(), nowMs);
-    if (looksForBalancers && parts.balancers.liveCount(nowMs) > 0) {
-      parts.beacons.sendTo(peer, nowMs);
+    boolean listsNoBalancer = beacon.balancers().length == 0;
+    fleetDiscovered |= !listsNoBalancer;
+    collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
+    if (listsNoBalancer && collaborators.balancers.liveCount(nowMs) > 0) {
+      collaborators.beacons.sendTo(peer, nowMs);
     }
   }
 
   private void onBalancerBeacon(int balancer, PeerMessage.BalancerBeacon beacon, long nowMs) {
-    fleetHeard |= beacon.revision() > 0;
-    boolean appeared = parts.balancers.heard(balancer, beacon.zone(), beacon.revision(), nowMs);
-    parts.balancers.addAdvertised(beacon.balancers(), nowMs);
+    fleetDiscovered |= beacon.revision() > 0;
+    boolean appeared =
+        collaborators.balancers.heard(balancer, beacon.zone(), beacon.revision(), nowMs);
+    collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
     TargetReport target = beacon.target();
     if (target != null && agent.onTargetReport(target, nowMs)) {
-      logTarget(target, balancer);
+      logTargetReport(target, balancer);
     }
-    parts.beacons.onReportInterval(balancer, beacon.reportIntervalMs());
+    collaborators.beacons.setMinReportInterval(balancer, beacon.reportIntervalMs());
     if (appeared) {
       log.event("balancer-heard", "peer", Endpoint.of(balancer, 0).host());
-      parts.beacons.sendTo(balancer, nowMs);
+      collaborators.beacons.sendTo(balancer, nowMs);
     }
-    parts.copy.onBeacon(balancer, beacon, nowMs);
+    collaborators.copy.onBeacon(balancer, beacon, nowMs);
   }
 
-  private void logTarget(TargetReport target, int balancer) {
+  private void logTargetReport(TargetReport target, int balancer) {
     log.event(
         "target-phase",
         "phase",
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -36,20 +36,21 @@
 import java.util.List;
 import javax.annotation.Nullable;
 
-/** Takes clients' segments and forwards each to the agent beside the flow's target. */
+/** Receives the segments of clients and forwards each to the agent of the flow's target. */
 public final class BalancerDaemon implements ForwardingDaemon {
   /**
-   * The HTTP servers wait for a state at most so long, in milliseconds, since metrics are read
-   * without one too. Not measured; chosen so that a source that answers has been read by then.
+   * The maximum time that the HTTP servers wait for a configuration, in milliseconds. A source that
+   * responds has been read by then. The servers start without a configuration after this time,
+   * since metrics are read in that case too.
    */
-  private static final int ENDPOINTS_WITHIN_MS = 3_000;
+  private static final int MAX_CONFIGURATION_WAIT_MS = 3_000;
 
   /**
-   * How long the HTTP servers wait for the processor once there is a state, in milliseconds.
-   * Routers send to a node that is not ready only if none is: then requests are worth more than
-   * readiness. Not measured by itself (docs/MEASURED-POLICY.md).
+   * The maximum time that the HTTP servers wait for a free processor once a configuration is known,
+   * in milliseconds. Routers send to a node that is not ready only if no node is ready; forwarding
+   * requests is then more important than reporting readiness (docs/MEASURED-POLICY.md).
    */
-  private static final int ENDPOINTS_AFTER_READY_MS = 1_500;
+  private static final int MAX_PROCESSOR_WAIT_MS = 1_500;
 
   private final ForwardingSettings settings;
   private final ForwardingPolicy policy;
@@ -65,7 +66,7 @@
   private final FlowBalancer balancer;
   private final StateConfirmation confirmation;
   private final BalancerBeacons beacons;
-  private final BalancerMessages messages;
+  private final BalancerMessageHandler messageHandler;
   private final StateChangeLog changes;
   private final ProcessorLag processorLag = new ProcessorLag();
   private final BalancerDrain drain = new BalancerDrain();
@@ -73,7 +74,7 @@
   private final DaemonEndpoints endpoints;
   @Nullable private volatile IOException endpointFailure;
 
-  /** Creates a daemon; nothing is bound before {@link #start()}. */
+  /** Creates a daemon. No port is bound before {@link #start()}. */
   public BalancerDaemon(
       ForwardingSettings settings, SegmentCodec segments, StateSource source, EventLog log) {
     this.settings = settings;
@@ -91,42 +92,43 @@
         new SourceFollower.Conditions(policy, processorLag, readers);
     follower = new SourceFollower(source, keeper, this::onConfirmed, conditions, log, metrics);
     catchUp = new PeerCatchUp(settings, keeper, follower, metrics, log);
-    AddressCache peers = new AddressCache(settings.peerPort());
-    balancer = createBalancer(peers);
+    AddressCache peerAddresses = new AddressCache(settings.peerPort());
+    balancer = createBalancer(peerAddresses);
     confirmation = new StateConfirmation(balancer, keeper, follower, readers);
-    beacons = createBeacons(peers);
-    messages = createMessages(peers);
+    beacons = createBeacons(peerAddresses);
+    messageHandler = createMessageHandler(peerAddresses);
     readiness = new BalancerReadiness(policy, balancer, balancers, drain, log);
     endpoints = new DaemonEndpoints(settings, readiness, this::encodedState, metrics, log);
-    nameGauges(source);
+    registerGauges(source);
   }
 
-  private FlowBalancer createBalancer(AddressCache peers) {
-    PeerSender sender = new PeerSender(peerPort, peers, metrics);
+  private FlowBalancer createBalancer(AddressCache peerAddresses) {
+    PeerSender sender = new PeerSender(peerPort, peerAddresses, metrics);
     ClientSender clients = new ClientSender(clientPort, settings.clientEndpoint().port(), segments);
     BalancerOutput output =
         new BalancerOutput(settings, sender, clients, balancers, keeper, catchUp);
     return new FlowBalancer(policy, settings.zone(), output, metrics, MonotonicClock.nowMs());
   }
 
-  private BalancerBeacons createBeacons(AddressCache peers) {
+  private BalancerBeacons createBeacons(AddressCache peerAddresses) {
     return new BalancerBeacons(
         settings.zone(),
         balancers,
-        new PeerSender(peerPort, peers, metrics),
+        new PeerSender(peerPort, peerAddresses, metrics),
         confirmation::advertisedAgeMs,
         balancer::activeAgentCount);
   }
 
-  private BalancerMessages createMessages(AddressCache peers) {
-    PeerSender answers = new PeerSender(peerPort, peers, metrics);
-    BalancerMessages.Parts parts =
-        new BalancerMessages.Parts(
+  private BalancerMessageHandler createMessageHandler(AddressCache peerAddresses) {
+    PeerSender responseSender = new PeerSender(peerPort, peerAddresses, metrics);
+    BalancerMessageHandler.Collaborators collaborators =
+        new BalancerMessageHandler.Collaborators(
             settings.zone(), balancers, beacons, keeper, confirmation, catchUp);
-    return new BalancerMessages(parts, answers, balancer, segments, metrics, log);
+    return new BalancerMessageHandler(
+        collaborators, responseSender, balancer, segments, metrics, log);
   }
 
-  private void nameGauges(StateSource source) {
+  private void registerGauges(StateSource source) {
     metrics.gauge(ForwardingGauge.FLOWS, balancer::flowCount);
     metrics.gauge(ForwardingGauge.BALANCERS, () -> balancers.liveCount(MonotonicClock.nowMs()));
     metrics.gauge(ForwardingGauge.STATE_REVISION, () -> Revision.count(keeper.state().revision()));
@@ -155,24 +157,24 @@
     peerPort.bind();
     clientPort.bind();
     clientPort.start("client-segments", this::onClientDatagram);
-    peerPort.start("peer-messages", messages);
+    peerPort.start("peer-messages", messageHandler);
     follower.start();
     reload(settings);
     beacons.sendRegular(keeper.state(), MonotonicClock.nowMs());
     catchUp.start();
   }
 
-  // The servers cost as much processor time as all before them, which clients would wait for: they
-  // start when there is a state, and on a thread of their own, since what is due can't wait for
-  // them.
+  // The start of the servers takes as much processor time as the rest of the startup and would
+  // delay clients. They start once a configuration is known, and on a separate thread so that they
+  // do not delay the timers of the main loop.
   private void startEndpoints() {
     try {
-      long deadlineMs = MonotonicClock.nowMs() + ENDPOINTS_WITHIN_MS;
+      long deadlineMs = MonotonicClock.nowMs() + MAX_CONFIGURATION_WAIT_MS;
       while (!readiness.isConfigured() && MonotonicClock.nowMs() < deadlineMs) {
         Thread.sleep(MainLoop.TICK_MS);
       }
       if (policy.uses(Mechanism.PACED_START)) {
-        processorLag.awaitCalm(ENDPOINTS_AFTER_READY_MS);
+        processorLag.awaitCalm(MAX_PROCESSOR_WAIT_MS);
       }
       endpoints.start();
     } catch (IOException e) {
@@ -184,8 +186,8 @@
   }
 
   @Override
-  public void reload(ForwardingSettings newer) {
-    balancers.addSeeds(newer.seeds(), MonotonicClock.nowMs());
+  public void reload(ForwardingSettings newSettings) {
+    balancers.addSeeds(newSettings.seeds(), MonotonicClock.nowMs());
   }
 
   @Override
@@ -195,12 +197,12 @@
     endpointStarter.start();
     TickTimer beaconTimer = new TickTimer();
     TickTimer sweepTimer = new TickTimer();
-    long ranAtMs = MonotonicClock.nowMs();
+    long tickEndedAtMs = MonotonicClock.nowMs();
     while (!drain.isDone(MonotonicClock.nowMs())) {
       Thread.sleep(MainLoop.TICK_MS);
       throwEndpointFailure();
       long nowMs = MonotonicClock.nowMs();
-      processorLag.ran(nowMs - ranAtMs - MainLoop.TICK_MS);
+      processorLag.ran(nowMs - tickEndedAtMs - MainLoop.TICK_MS);
       keeper.onTick(nowMs);
       balancer.onTick(nowMs);
       if (beaconTimer.takeIfDue(BalancerBeacons.PERIOD_MS, nowMs)) {
@@ -210,8 +212,8 @@
         balancer.onSweep(nowMs);
       }
       catchUp.fetchIfBehind(nowMs);
-      readiness.checkIsolation(nowMs);
-      ranAtMs = MonotonicClock.nowMs();
+      readiness.updateIsolation(nowMs);
+      tickEndedAtMs = MonotonicClock.nowMs();
     }
     log.event("stopped", "flows", balancer.flowCount());
   }
@@ -236,7 +238,9 @@
     boolean evacuationsChanged = changes.logEvacuations(before, after);
     readiness.onState(after);
     if (evacuationsChanged) {
-      // Each agent has to know, so that none takes what a balancer that is behind sends it.
+      // Every agent needs the evacuations, so that it returns openings that a balancer with an
+      // older
+      // state forwards to an evacuated zone.
       beacons.sendChanges(after, after.targets(), nowMs);
     } else if (configurationChanged || !changedTargets.isEmpty()) {
       beacons.sendChanges(after, changedTargets, nowMs);
@@ -248,8 +252,8 @@
   }
 
   private byte[] encodedState(String query) {
-    PeerStateQuery known = PeerStateQuery.parse(query);
-    return keeper.encodedSince(known.revision(), known.version());
+    PeerStateQuery peerQuery = PeerStateQuery.parse(query);
+    return keeper.encodedSince(peerQuery.revision(), peerQuery.version());
   }
 
   private void onClientDatagram(int sourceAddress, ByteBuffer datagram) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDrain.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDrain.java
@@ -1,43 +1,44 @@
 package io.moorstage.forwarding.daemon;
 
 /**
- * When does a balancer that has been asked to stop end?
+ * Decides when a stopping balancer ends.
  *
- * <p>Inputs: when the stop began and when a client's segment came last, both in milliseconds of the
- * monotonic clock, read with each tick of the main loop.
+ * <p>Inputs: the start of the stop and the arrival of the last client segment, both in milliseconds
+ * of the monotonic clock and evaluated at each tick of the main loop.
  *
- * <p>Rule: it forwards on until routers have had {@link #MIN_MS} to see that it is not ready and no
- * client's segment has come for {@link #QUIET_MS}; after {@link #MAX_MS} it ends in any case.
+ * <p>The balancer continues to forward until routers have had {@link #MIN_MS} to detect that it is
+ * not ready, and no client segment has arrived for {@link #CLIENT_IDLE_MS}. It ends after {@link
+ * #MAX_MS} in any case.
  *
- * <p>Reason: a segment that reaches a machine without a balancer is lost, and its client waits for
- * the next repetition, 0.2 to 3.0 s later (docs/MEASURED-POLICY.md).
+ * <p>A segment that reaches a machine without a balancer is lost, and its client retransmits it
+ * only 0.2 to 3.0 s later (docs/MEASURED-POLICY.md).
  */
 final class BalancerDrain {
   /**
-   * The shortest stop. Not measured; chosen so that a router that asks for readiness twice a second
-   * (docs/SOAK.md) has asked twice.
+   * The minimum drain time, in milliseconds. A router that probes readiness twice a second
+   * (docs/SOAK.md) has probed twice by then.
    */
   static final int MIN_MS = 1_300;
 
-  /** The longest stop. Not measured; chosen so that no router can keep a process from ending. */
+  /** The maximum drain time, in milliseconds, so that no router can prevent the process end. */
   static final int MAX_MS = 4_500;
 
   /**
-   * Silence of the clients that shows that routers have left. Not measured; chosen so that a client
-   * whose segment has just been lost has repeated it, which it first does after 200 ms.
+   * The time without client segments after which routers no longer use this balancer, in
+   * milliseconds. It covers the first retransmission of a lost segment, which comes after 200 ms.
    */
-  static final int QUIET_MS = 300;
+  static final int CLIENT_IDLE_MS = 300;
 
   private volatile boolean stopping;
-  private volatile long stopAtMs;
-  private volatile long lastClientAtMs;
+  private volatile long stopBeganAtMs;
+  private volatile long lastClientSegmentAtMs;
 
-  /** Begins to drain; returns whether this is the first call. */
+  /** Starts the drain if it has not started yet, and returns whether this call started it. */
   boolean begin(long nowMs) {
     if (stopping) {
       return false;
     }
-    stopAtMs = nowMs;
+    stopBeganAtMs = nowMs;
     stopping = true;
     return true;
   }
@@ -46,18 +47,18 @@
     return stopping;
   }
 
-  /** A client's segment has arrived. */
+  /** Records the arrival of a client segment. */
   void onClientSegment(long nowMs) {
-    lastClientAtMs = nowMs;
+    lastClientSegmentAtMs = nowMs;
   }
 
-  /** Returns whether the balancer ends now. */
+  /** Returns whether the drain is complete, so that the balancer ends. */
   boolean isDone(long nowMs) {
     if (!stopping) {
       return false;
     }
-    long stoppingForMs = nowMs - stopAtMs;
-    boolean quiet = nowMs - lastClientAtMs > QUIET_MS;
-    return stoppingForMs > MAX_MS || quiet && stoppingForMs > MIN_MS;
+    long stoppingForMs = nowMs - stopBeganAtMs;
+    boolean clientsIdle = nowMs - lastClientSegmentAtMs > CLIENT_IDLE_MS;
+    return stoppingForMs > MAX_MS || clientsIdle && stoppingForMs > MIN_MS;
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessages.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessageHandler.java
@@ -18,16 +18,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes what other nodes send to a balancer. */
-final class BalancerMessages extends PeerMessageReceiver {
-  private final Parts parts;
-  private final PeerSender answers;
+/** Handles the messages that other nodes send to a balancer. */
+final class BalancerMessageHandler extends PeerMessageReceiver {
+  private final Collaborators collaborators;
+  private final PeerSender responseSender;
   private final FlowBalancer balancer;
   private final SegmentCodec segments;
   private final EventLog log;
 
-  /** Who hears of what beacons say. */
-  record Parts(
+  /** The components that process the contents of beacons, and the zone of this balancer. */
+  record Collaborators(
       String zone,
       PeerDirectory balancers,
       BalancerBeacons beacons,
@@ -36,20 +36,21 @@
       PeerCatchUp catchUp) {}
 
   /**
-   * Creates a receiver.
+   * Creates a handler.
    *
-   * @param answers sends answers to questions for flows; no one else uses it
+   * @param responseSender sends the responses to flow queries; not shared, since it is not
+   *     thread-safe
    */
-  BalancerMessages(
-      Parts parts,
-      PeerSender answers,
+  BalancerMessageHandler(
+      Collaborators collaborators,
+      PeerSender responseSender,
       FlowBalancer balancer,
       SegmentCodec segments,
       ForwardingMetrics metrics,
       EventLog log) {
     super(metrics, log);
-    this.parts = parts;
-    this.answers = answers;
+    this.collaborators = collaborators;
+    this.responseSender = responseSender;
     this.balancer = balancer;
     this.segments = segments;
     this.log = log;
@@ -60,9 +61,9 @@
     if (message instanceof PeerMessage.GiveBack giveBack) {
       onGiveBack(sender, giveBack, nowMs);
     } else if (message instanceof PeerMessage.Answer answer) {
-      onAnswer(sender, answer, nowMs);
+      onQueryResponse(sender, answer, nowMs);
     } else if (message instanceof PeerMessage.Ask ask) {
-      onAsk(sender, ask);
+      onQuery(sender, ask);
     } else if (message instanceof PeerMessage.BalancerBeacon beacon) {
       onBalancerBeacon(sender, beacon, nowMs);
     } else if (message instanceof PeerMessage.AgentBeacon beacon) {
@@ -81,49 +82,51 @@
         agent, giveBack.reason(), giveBack.configurationVersion(), segment, datagram, nowMs);
   }
 
-  private void onAnswer(int sender, PeerMessage.Answer answer, long nowMs) {
-    for (PeerMessage.FlowAnswer known : answer.flows()) {
-      balancer.onQueryResult(sender, known.flow(), known.knowledge(), known.targetAddress(), nowMs);
+  private void onQueryResponse(int sender, PeerMessage.Answer answer, long nowMs) {
+    for (PeerMessage.FlowAnswer result : answer.flows()) {
+      balancer.onQueryResult(
+          sender, result.flow(), result.knowledge(), result.targetAddress(), nowMs);
     }
   }
 
-  // A balancer that knows nothing of a flow is silent: the agents decide whether there is one.
-  private void onAsk(int sender, PeerMessage.Ask ask) {
-    List<PeerMessage.FlowAnswer> known = new ArrayList<>(0);
+  // A balancer without a known target for any of the flows sends no response: only the responses of
+  // agents decide whether a flow exists.
+  private void onQuery(int sender, PeerMessage.Ask ask) {
+    List<PeerMessage.FlowAnswer> results = new ArrayList<>(0);
     for (FlowId flow : ask.flows()) {
       int target = balancer.knownTarget(flow);
       if (target != 0) {
-        known.add(new PeerMessage.FlowAnswer(flow, FlowQueryResult.KNOWN_ELSEWHERE, target));
+        results.add(new PeerMessage.FlowAnswer(flow, FlowQueryResult.KNOWN_ELSEWHERE, target));
       }
     }
-    if (!known.isEmpty()) {
-      answers.send(new PeerMessage.Answer(known), sender);
+    if (!results.isEmpty()) {
+      responseSender.send(new PeerMessage.Answer(results), sender);
     }
   }
 
   private void onBalancerBeacon(int peer, PeerMessage.BalancerBeacon beacon, long nowMs) {
-    boolean appeared = parts.balancers.heard(peer, beacon.zone(), beacon.revision(), nowMs);
-    parts.balancers.addAdvertised(beacon.balancers(), nowMs);
-    parts.confirmation.onBeacon(peer, beacon, nowMs);
-    parts.catchUp.onAdvertised(peer, beacon.zone(), beacon.revision(), nowMs);
+    boolean appeared = collaborators.balancers.heard(peer, beacon.zone(), beacon.revision(), nowMs);
+    collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
+    collaborators.confirmation.onBeacon(peer, beacon, nowMs);
+    collaborators.catchUp.onAdvertised(peer, beacon.zone(), beacon.revision(), nowMs);
     if (appeared) {
       log.event("balancer-heard", "peer", Endpoint.of(peer, 0).host());
-      parts.beacons.sendTo(peer, parts.keeper.state(), nowMs);
+      collaborators.beacons.sendTo(peer, collaborators.keeper.state(), nowMs);
     }
   }
 
   private void onAgentBeacon(int agent, PeerMessage.AgentBeacon beacon, long nowMs) {
-    boolean appeared = balancer.onAgentReport(newsOf(agent, beacon), nowMs);
-    boolean isNear = beacon.zone().equals(parts.zone);
-    boolean looksForBalancers = beacon.balancers().length == 0;
-    if (appeared && (isNear || looksForBalancers)) {
-      parts.beacons.sendTo(agent, parts.keeper.state(), nowMs);
+    boolean appeared = balancer.onAgentReport(toReport(agent, beacon), nowMs);
+    boolean isSameZone = beacon.zone().equals(collaborators.zone);
+    boolean listsNoBalancer = beacon.balancers().length == 0;
+    if (appeared && (isSameZone || listsNoBalancer)) {
+      collaborators.beacons.sendTo(agent, collaborators.keeper.state(), nowMs);
     }
-    parts.balancers.addAdvertised(beacon.balancers(), nowMs);
-    parts.catchUp.onAdvertised(agent, beacon.zone(), beacon.revision(), nowMs);
+    collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
+    collaborators.catchUp.onAdvertised(agent, beacon.zone(), beacon.revision(), nowMs);
   }
 
-  private static AgentReport newsOf(int agent, PeerMessage.AgentBeacon beacon) {
+  private static AgentReport toReport(int agent, PeerMessage.AgentBeacon beacon) {
     return new AgentReport(
         agent,
         beacon.service(),
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
@@ -13,13 +13,17 @@
 import io.moorstage.forwarding.state.StateKeeper;
 import java.nio.ByteBuffer;
 
-/** Carries out a balancer's decisions; called under its lock, which guards the senders too. */
+/**
+ * Executes a balancer's decisions. The methods are called under the balancer's lock, which also
+ * guards the senders.
+ */
 final class BalancerOutput implements BalancerActions, FlowQuestions.Sender {
   /**
-   * Balancers that are asked for a flow that no agent asked knows. Not measured; chosen so that a
-   * question goes to a zone's balancers and some elsewhere, however large the fleet is.
+   * The maximum number of balancers that are queried about a flow that none of the queried agents
+   * has reported. The queries reach the balancers of the own zone and some of other zones, and
+   * their number does not grow with the fleet.
    */
-  private static final int MAX_ASKED_BALANCERS = 12;
+  private static final int MAX_QUERIED_BALANCERS = 12;
 
   private final String zone;
   private final PeerSender peers;
@@ -27,7 +31,7 @@
   private final PeerDirectory balancers;
   private final StateKeeper keeper;
   private final PeerCatchUp catchUp;
-  private final FlowQuestions questions;
+  private final FlowQuestions queryBatcher;
 
   BalancerOutput(
       ForwardingSettings settings,
@@ -42,8 +46,8 @@
     this.balancers = balancers;
     this.keeper = keeper;
     this.catchUp = catchUp;
-    boolean gathers = settings.policy().uses(Mechanism.GATHERED_QUESTIONS);
-    this.questions = new FlowQuestions(gathers ? MainLoop.TICK_MS : 0, this);
+    boolean batchesQueries = settings.policy().uses(Mechanism.GATHERED_QUESTIONS);
+    this.queryBatcher = new FlowQuestions(batchesQueries ? MainLoop.TICK_MS : 0, this);
   }
 
   @Override
@@ -58,18 +62,18 @@
 
   @Override
   public void query(int peerAddress, FlowId flow) {
-    questions.ask(peerAddress, flow, MonotonicClock.nowMs());
+    queryBatcher.ask(peerAddress, flow, MonotonicClock.nowMs());
   }
 
   @Override
   public void flush() {
-    questions.flush(MonotonicClock.nowMs());
+    queryBatcher.flush(MonotonicClock.nowMs());
   }
 
   @Override
   public void queryBalancers(FlowId flow) {
     long nowMs = MonotonicClock.nowMs();
-    for (int peer : balancers.live(zone, MAX_ASKED_BALANCERS, nowMs)) {
+    for (int peer : balancers.live(zone, MAX_QUERIED_BALANCERS, nowMs)) {
       query(peer, flow);
     }
   }
@@ -81,8 +85,8 @@
 
   @Override
   public void fetchState(int peerAddress, long configurationVersion) {
-    // Not each agent keeps a copy of the state.
-    int ahead = balancers.mostAdvanced(keeper.state().revision(), MonotonicClock.nowMs());
-    catchUp.fetch(ahead == 0 ? peerAddress : ahead);
+    // Not every agent keeps a copy of the state, so a balancer with a newer state is preferred.
+    int mostAdvanced = balancers.mostAdvanced(keeper.state().revision(), MonotonicClock.nowMs());
+    catchUp.fetch(mostAdvanced == 0 ? peerAddress : mostAdvanced);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerReadiness.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerReadiness.java
@@ -12,26 +12,28 @@
 import javax.annotation.Nullable;
 
 /**
- * Should routers send clients' segments to this balancer?
+ * Decides whether this balancer reports itself as ready, so that routers send it the segments of
+ * clients.
  *
- * <p>Inputs: whether a configuration is known, whether the balancer stops, and, from the beacons of
- * the last {@link #MEMBERSHIP_MS}, which agents and balancers have fallen silent. Isolation is as
- * old as the last tick of the main loop, the rest as the moment of the question.
+ * <p>Inputs: whether a configuration is known, whether the balancer is stopping, and which agents
+ * and balancers have timed out, judged from the beacons of the last {@link #MEMBERSHIP_MS}.
+ * Isolation is evaluated at each tick of the main loop, the other inputs at each readiness probe.
  *
- * <p>Rule: yes, if it knows a configuration, does not stop, and is not isolated. It is isolated if
- * it has lost all agents that it heard and most of the balancers. If the other balancers are there,
- * it is the agents that are away, and its clients would do no better elsewhere.
+ * <p>The balancer is ready if it has a configuration, is not stopping and is not isolated. It is
+ * isolated if all its known agents and most of the balancers have timed out. If the other balancers
+ * still send beacons, the agents themselves are unavailable and another balancer could not serve
+ * the clients either.
  *
- * <p>Reason: what reaches a balancer without a configuration, or without a way to any agent, is
- * lost, while another balancer could have forwarded it.
+ * <p>A segment that reaches a balancer without a configuration, or without a connection to any
+ * agent, is lost, while another balancer could have forwarded it.
  */
 final class BalancerReadiness implements HttpEndpoint.Content {
-  /** Silence after which an agent or a balancer counts as lost. */
-  static final int ISOLATED_AFTER_MS = BalancerBeacons.SILENT_AFTER_MS;
+  /** The time without a beacon after which an agent or a balancer times out, in milliseconds. */
+  static final int ISOLATION_TIMEOUT_MS = BalancerBeacons.SILENT_AFTER_MS;
 
   /**
-   * For how long a silent balancer still counts among those that there should be. Not measured;
-   * chosen so that one that restarts is missed, and one that was taken away for good soon is not.
+   * How long a balancer counts as an expected member after its last beacon, in milliseconds. A
+   * balancer that restarts remains expected, while one that was removed soon ceases to be.
    */
   static final int MEMBERSHIP_MS = 20_000;
 
@@ -56,19 +58,22 @@
     this.log = log;
   }
 
-  /** The answer to a router: an empty body if the balancer is ready, null if it is not. */
+  /**
+   * Returns the response to a router's readiness probe: an empty body if the balancer is ready,
+   * null if it is not.
+   */
   @Override
   @Nullable
   public byte[] body(@Nullable String query) {
     return isConfigured() && !isolated ? HttpEndpoint.EMPTY_BODY : null;
   }
 
-  /** Returns whether the balancer knows a configuration and does not stop. */
+  /** Returns whether the balancer has a configuration and is not stopping. */
   boolean isConfigured() {
     return configured && !drain.isStopping();
   }
 
-  /** Takes a newer state. */
+  /** Records whether a newer state has a configuration, unless the balancer is stopping. */
   void onState(FleetState state) {
     if (!configured && !drain.isStopping() && state.configuration().version() > 0) {
       configured = true;
@@ -76,18 +81,18 @@
     }
   }
 
-  /** Looks whether the balancer is cut off; called with each tick. */
-  void checkIsolation(long nowMs) {
-    boolean cutOff = isCutOff(nowMs);
-    if (cutOff != isolated) {
-      isolated = cutOff;
-      log.event(cutOff ? "isolated" : "reconnected", "balancers", balancers.liveCount(nowMs));
+  /** Updates whether the balancer is isolated. The main loop calls this at each tick. */
+  void updateIsolation(long nowMs) {
+    boolean isolatedNow = isIsolated(nowMs);
+    if (isolatedNow != isolated) {
+      isolated = isolatedNow;
+      log.event(isolatedNow ? "isolated" : "reconnected", "balancers", balancers.liveCount(nowMs));
     }
   }
 
-  private boolean isCutOff(long nowMs) {
+  private boolean isIsolated(long nowMs) {
     return policy.uses(Mechanism.ISOLATION)
-        && balancer.hasLostAllAgents(ISOLATED_AFTER_MS, nowMs)
-        && balancers.hasLostMost(ISOLATED_AFTER_MS, MEMBERSHIP_MS, nowMs);
+        && balancer.hasLostAllAgents(ISOLATION_TIMEOUT_MS, nowMs)
+        && balancers.hasLostMost(ISOLATION_TIMEOUT_MS, MEMBERSHIP_MS, nowMs);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
@@ -18,8 +18,8 @@
 import io.moorstage.forwarding.state.StateSourceException;
 
 /**
- * Gets the state from another node where that one knows a newer one than this balancer. {@link
- * StateLag} decides when. Thread-safe.
+ * Fetches the state of a peer that has a newer one than this balancer. {@link StateLag} decides
+ * when and from which peer. Thread-safe.
  */
 final class PeerCatchUp implements PeerStateFetcher.StateHandler {
   private final String zone;
@@ -42,25 +42,28 @@
     this.metrics = metrics;
     this.log = log;
     PeerStateClient client = new PeerStateClient(settings.statePort());
-    this.fetcher = new PeerStateFetcher(client, this::ownState, this, log);
+    this.fetcher = new PeerStateFetcher(client, this::ownStateQuery, this, log);
   }
 
-  /** Starts the thread that asks. */
+  /** Starts the thread that fetches states. */
   void start() {
     fetcher.start();
   }
 
-  /** A peer has advertised up to which revision it knows all. */
+  /** Records the revision up to which a peer has all changes, and fetches its state if due. */
   void onAdvertised(int peer, String peerZone, long revision, long nowMs) {
-    boolean isNear = peerZone.equals(zone);
-    lag.recordPeerRevision(peer, isNear, revision, keeper.state().revision(), nowMs);
+    boolean isSameZone = peerZone.equals(zone);
+    lag.recordPeerRevision(peer, isSameZone, revision, keeper.state().revision(), nowMs);
     fetchIfBehind(nowMs);
   }
 
-  /** Asks a peer if one is known to be ahead and the source had its time; called with each tick. */
+  /**
+   * Fetches the state of a peer that is ahead of this node, once the source has had time to deliver
+   * the same changes. The main loop calls this at each tick.
+   */
   void fetchIfBehind(long nowMs) {
     if (keeper.state().revision() == 0 && fetcher.isBusy()) {
-      // Many advertise the same state while this node starts; one copy of it is enough.
+      // While this node starts, many peers advertise the same state; a single fetch is sufficient.
       return;
     }
     int peer = lag.peerToQuery(keeper.state().revision(), follower.isAnswering(), nowMs);
@@ -69,12 +72,12 @@
     }
   }
 
-  /** Asks a peer at once. */
+  /** Fetches the state of a peer without waiting for the source. */
   void fetch(int peer) {
     fetcher.fetch(peer);
   }
 
-  private PeerStateQuery ownState() {
+  private PeerStateQuery ownStateQuery() {
     FleetState state = keeper.state();
     return new PeerStateQuery(state.revision(), state.configuration().version());
   }
@@ -82,8 +85,8 @@
   @Override
   public void onPeerState(int peerAddress, PeerStateQuery query, byte[] encoded)
       throws StateSourceException {
-    FleetStateCodec.PeerState answer = FleetStateCodec.decode(encoded);
-    FleetState peerState = answer.state();
+    FleetStateCodec.PeerState response = FleetStateCodec.decode(encoded);
+    FleetState peerState = response.state();
     long ownRevision = keeper.state().revision();
     if (peerState.revision() <= ownRevision) {
       return;
@@ -97,7 +100,7 @@
         "before",
         Revision.text(ownRevision));
     metrics.count(ForwardingCounter.PEER_STATES);
-    if (answer.complete()) {
+    if (response.complete()) {
       keeper.replaceBy(peerState, MonotonicClock.nowMs());
     } else {
       keeper.merge(peerState, query.revision(), MonotonicClock.nowMs());
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
@@ -10,23 +10,26 @@
 import io.moorstage.forwarding.state.StateKeeper;
 
 /**
- * When was this balancer's state last known to be current?
+ * Tracks when this balancer's state was last confirmed as current. Thread-safe.
  *
- * <p>Inputs: answers of the source, and beacons of balancers that read it, with the age of their
- * confirmation in milliseconds. Rule: the newest confirmation counts; one of a peer that knows
- * nothing newer than this node confirms this node's state too, and each holds for {@link
- * #CONFIRMED_FOR_MS}. Reason: only a confirmed state proves that an address has no route, in which
- * case the client gets a reset instead of silence. Thread-safe.
+ * <p>Inputs: the responses of the source, and the beacons of balancers that read it, with the age
+ * of their last confirmation in milliseconds.
+ *
+ * <p>The newest confirmation counts and is valid for {@link #CONFIRMATION_TTL_MS}. The confirmation
+ * of a peer that has no newer revision than this node confirms this node's state too.
+ *
+ * <p>Only a confirmed state proves that an address has no route. The client then gets a reset,
+ * while its opening is dropped without a response as long as the state is not confirmed.
  */
 final class StateConfirmation {
   /**
-   * For how long a confirmation holds, in milliseconds: the next one is due after the wait of a
-   * call, and a peer hears of it with the next beacon. Not measured.
+   * How long a confirmation is valid, in milliseconds: the next one is due after the wait of a
+   * source call, and a peer receives it with the next beacon.
    */
-  static final int CONFIRMED_FOR_MS = SourceFollower.WAIT_MS + BalancerBeacons.PERIOD_MS;
+  static final int CONFIRMATION_TTL_MS = SourceFollower.WAIT_MS + BalancerBeacons.PERIOD_MS;
 
-  /** The gauge's value while the state has never been confirmed. */
-  private static final long NO_AGE = -1;
+  /** The value of the gauge before the first confirmation. */
+  private static final long NEVER_CONFIRMED = -1;
 
   private final FlowBalancer balancer;
   private final StateKeeper keeper;
@@ -42,15 +45,18 @@
     this.readers = readers;
   }
 
-  /** The state was current at some time of the monotonic clock, in milliseconds. */
+  /** Records that the state was current at a time of the monotonic clock, in milliseconds. */
   void onConfirmed(long atMs) {
     if (atMs > confirmedAtMs) {
       confirmedAtMs = atMs;
-      balancer.onConfirmed(atMs + CONFIRMED_FOR_MS);
+      balancer.onConfirmed(atMs + CONFIRMATION_TTL_MS);
     }
   }
 
-  /** A peer whose state the source has confirmed, and which knows nothing newer, confirms ours. */
+  /**
+   * Records the confirmation that a peer advertises. It also confirms this node's state if {@link
+   * #confirms} holds for the two revisions.
+   */
   void onBeacon(int peer, PeerMessage.BalancerBeacon beacon, long nowMs) {
     int ageMs = beacon.confirmedAgeMs();
     readers.heard(peer, beacon.zone(), ageMs, nowMs);
@@ -60,8 +66,9 @@
   }
 
   /**
-   * Returns whether a peer whose state the source has confirmed confirms this node's too. One of an
-   * earlier era does not: the source has come back since, and may hold what neither of them knows.
+   * Returns whether the confirmed state of a peer confirms the state of this node too. A state of
+   * an earlier era does not: the source has been restored since, and may hold changes that neither
+   * of the two nodes has.
    */
   static boolean confirms(long peerRevision, long ownRevision) {
     return peerRevision <= ownRevision && !Revision.isOfEarlierEra(peerRevision, ownRevision);
@@ -69,8 +76,8 @@
 
   /**
    * Returns the age to advertise, in milliseconds, or {@link
-   * PeerMessage.BalancerBeacon#NOT_CONFIRMED} if this node does not read the source, or is not
-   * answered.
+   * PeerMessage.BalancerBeacon#NOT_CONFIRMED} if this node does not read the source, its last call
+   * to the source failed, or the state has never been confirmed.
    */
   int advertisedAgeMs(long nowMs) {
     boolean confirmed = follower.isAnswering() && confirmedAtMs > 0;
@@ -79,8 +86,8 @@
         : PeerMessage.BalancerBeacon.NOT_CONFIRMED;
   }
 
-  /** Returns the gauge's value: milliseconds since the last confirmation, -1 before the first. */
+  /** Returns the time since the last confirmation, in milliseconds; -1 before the first one. */
   long metricAgeMs() {
-    return confirmedAtMs == 0 ? NO_AGE : MonotonicClock.nowMs() - confirmedAtMs;
+    return confirmedAtMs == 0 ? NEVER_CONFIRMED : MonotonicClock.nowMs() - confirmedAtMs;
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/package-info.java
@@ -1,14 +1,15 @@
 /**
- * The two programs, balancer and agent: they put threads, sockets and timers around the decisions
- * of module core.
+ * The two programs, balancer and agent, which connect the decisions of module core to threads,
+ * sockets and timers.
  *
- * <p>Owns start, ticks, reload and stop, and relies on all other packages of this module. {@link
- * io.moorstage.forwarding.daemon.BalancerDaemon} and {@link
- * io.moorstage.forwarding.daemon.AgentDaemon} build the parts and run the main loop. Of each, one
- * part takes what other nodes send (Messages), one carries out decisions (Output), one keeps the
- * state or its copy (PeerCatchUp, StateConfirmation; AgentStateCopy). The HTTP servers and the
- * sending to clients are shared. When a balancer is ready, and when one that stops ends, is decided
- * in BalancerReadiness and BalancerDrain. Daemons load nothing that forwarding does not need, since
- * starting is part of recovering.
+ * <p>This package is responsible for start, ticks, reload and stop, and uses all other packages of
+ * this module. {@link io.moorstage.forwarding.daemon.BalancerDaemon} and {@link
+ * io.moorstage.forwarding.daemon.AgentDaemon} create the components and run the main loop. Each has
+ * a component that handles the messages of other nodes (MessageHandler), one that executes
+ * decisions (Output), and components that keep the state up to date (PeerCatchUp and
+ * StateConfirmation in the balancer, AgentStateCopy in the agent). Both share DaemonEndpoints for
+ * the HTTP servers and ClientSender for the segments to clients. BalancerReadiness decides when a
+ * balancer is ready, and BalancerDrain when a stopping balancer ends. Daemons load no classes that
+ * forwarding does not need, since startup time is part of the recovery time.
  */
 package io.moorstage.forwarding.daemon;
