--- a/forwarding/src/test/java/io/moorstage/forwarding/daemon/DaemonsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/daemon/DaemonsTest.java
@@ -38,7 +38,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A balancer and an agent in one process, on ports that the system has picked. */
+/**
+ * Guards against daemons whose components are not connected: a balancer and an agent run in one
+ * process, on ports that the operating system assigns, and are tested over the network.
+ */
 class DaemonsTest {
   private static final int BALANCER = 0x7F530001;
   private static final int AGENT = 0x7F530002;
@@ -49,8 +52,8 @@
   private static final byte[] OPEN = "open".getBytes(StandardCharsets.US_ASCII);
   private static final byte[] ACCEPTED = "accepted".getBytes(StandardCharsets.US_ASCII);
   private static final int MAX_BYTES = 100;
-  private static final int CLIENT_WAIT_MS = 200;
-  private static final long PATIENCE_MS = 15_000;
+  private static final int CLIENT_RETRY_MS = 200;
+  private static final long TIMEOUT_MS = 15_000;
 
   private final int peerPort = freeUdpPort();
   private final int clientPort = freeUdpPort();
@@ -60,8 +63,8 @@
   private final int readinessPort = freeTcpPort();
   private final DatagramSocket target = socketAt(AGENT, 0);
 
-  /** Takes the connections by which an agent finds out whether the target's process runs. */
-  private final ServerSocket targetPresence = listenAt(AGENT, target.getLocalPort());
+  /** Listens for the connections with which the agent checks whether the target's process runs. */
+  private final ServerSocket targetListener = listenAt(AGENT, target.getLocalPort());
 
   private final DatagramSocket client = socketAt(CLIENT, clientPort);
   private ForwardingDaemon balancer;
@@ -82,9 +85,9 @@
             Evacuations.NONE);
     balancer =
         new BalancerDaemon(
-            settings(BALANCER), new PlainCodec(), sourceOf(state), new EventLog("balancer"));
+            settings(BALANCER), new PlainCodec(), sourceWith(state), new EventLog("balancer"));
     agent =
-        new AgentDaemon(settings(AGENT), new PlainCodec(), sourceOf(null), new EventLog("agent"));
+        new AgentDaemon(settings(AGENT), new PlainCodec(), sourceWith(null), new EventLog("agent"));
     balancer.start();
     agent.start();
     balancerLoop = runInBackground(balancer);
@@ -95,24 +98,24 @@
   void stop() throws InterruptedException, IOException {
     agent.stop();
     balancer.stop();
-    agentLoop.join(PATIENCE_MS);
-    balancerLoop.join(PATIENCE_MS);
+    agentLoop.join(TIMEOUT_MS);
+    balancerLoop.join(TIMEOUT_MS);
     target.close();
-    targetPresence.close();
+    targetListener.close();
     client.close();
   }
 
   @Test
-  void segmentsGoToTheTargetAndItsAnswersToTheClient() throws Exception {
+  void clientSegmentsReachTheTargetAndItsResponsesReachTheClient() throws Exception {
     awaitMetric(BALANCER, "moorstage_forwarding_ready_targets 1");
-    Thread answering = new Thread(this::answerOpenings);
-    answering.setDaemon(true);
-    answering.start();
+    Thread acceptingThread = new Thread(this::acceptOpenings);
+    acceptingThread.setDaemon(true);
+    acceptingThread.start();
     assertThat(openFlow()).isEqualTo(ACCEPTED);
   }
 
   @Test
-  void balancerAndAgentHearEachOtherAndTheAgentCopiesTheState() throws Exception {
+  void balancerAndAgentDiscoverEachOtherAndTheAgentCopiesTheState() throws Exception {
     awaitMetric(AGENT, "moorstage_forwarding_balancers 1");
     awaitMetric(AGENT, "moorstage_forwarding_state_revision 7");
     awaitStatus(BALANCER, 200);
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void malformedDatagramOfANodeIsCountedAndDoesNoHarm() throws Exception {
+  void malformedDatagramsAreCounted() throws Exception {
     send(client, new byte[] {0x7F}, BALANCER, peerPort);
     send(client, new byte[] {0x7F}, AGENT, peerPort);
     awaitMetric(BALANCER, "moorstage_forwarding_bad_peer_datagrams_total 1");
@@ -132,19 +135,19 @@
   @Test
   void stoppingBalancerIsNotReadyAndEndsAfterItsDrain() throws Exception {
     awaitStatus(BALANCER, 200);
-    long beganNs = System.nanoTime();
+    long stopBeganNs = System.nanoTime();
     balancer.stop();
     assertThat(status(BALANCER)).isEqualTo(503);
-    balancerLoop.join(PATIENCE_MS);
+    balancerLoop.join(TIMEOUT_MS);
     assertThat(balancerLoop.isAlive()).isFalse();
-    assertThat((System.nanoTime() - beganNs) / 1_000_000).isAtLeast(BalancerDrain.MIN_MS);
+    assertThat((System.nanoTime() - stopBeganNs) / 1_000_000).isAtLeast(BalancerDrain.MIN_MS);
   }
 
   @Test
   void stoppingAgentEndsAtOnce() throws Exception {
     awaitMetric(AGENT, "moorstage_forwarding_balancers 1");
     agent.stop();
-    agentLoop.join(PATIENCE_MS);
+    agentLoop.join(TIMEOUT_MS);
     assertThat(agentLoop.isAlive()).isFalse();
   }
 
@@ -182,8 +185,8 @@
     return thread;
   }
 
-  /** The target accepts each opening, and no other datagram, until its socket is closed. */
-  private void answerOpenings() {
+  /** Accepts each opening as the target and ignores other datagrams until the socket is closed. */
+  private void acceptOpenings() {
     try {
       while (true) {
         if (Arrays.equals(receive(target), OPEN)) {
@@ -191,29 +194,30 @@
         }
       }
     } catch (IOException e) {
-      // The test has ended.
+      // The test has closed the socket.
       assertThat(target.isClosed()).isTrue();
     }
   }
 
   /**
-   * Returns what the client gets: it opens the flow until there is an answer. One that a busy
-   * machine delays by more than 80 ms makes the target count as silent, and may end in a reset:
-   * then the client opens anew, as clients do.
+   * Opens the flow as the client until the target accepts it, and returns the last response, which
+   * is empty if the last attempt timed out. On a busy machine a response may be delayed by more
+   * than 80 ms; the target then counts as unresponsive and the opening may be reset, so it is
+   * retried as by a real client.
    */
   private byte[] openFlow() throws IOException {
-    client.setSoTimeout(CLIENT_WAIT_MS);
-    long deadlineNs = System.nanoTime() + PATIENCE_MS * 1_000_000;
-    byte[] last = {};
-    while (!Arrays.equals(last, ACCEPTED) && System.nanoTime() < deadlineNs) {
+    client.setSoTimeout(CLIENT_RETRY_MS);
+    long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    byte[] lastReceived = {};
+    while (!Arrays.equals(lastReceived, ACCEPTED) && System.nanoTime() < deadlineNs) {
       send(client, OPEN, BALANCER, clientPort);
       try {
-        last = receive(client);
+        lastReceived = receive(client);
       } catch (SocketTimeoutException e) {
-        last = new byte[0];
+        lastReceived = new byte[0];
       }
     }
-    return last;
+    return lastReceived;
   }
 
   private static byte[] receive(DatagramSocket socket) throws IOException {
@@ -229,9 +233,9 @@
 
   private void awaitMetric(int address, String line) throws Exception {
     String page = "";
-    long deadlineNs = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
     while (System.nanoTime() < deadlineNs) {
-      page = metricsOf(address);
+      page = readMetrics(address);
       if (List.of(page.split("\n", -1)).contains(line)) {
         return;
       }
@@ -240,21 +244,21 @@
     assertThat(page).contains(line);
   }
 
-  private String metricsOf(int address) {
+  private String readMetrics(int address) {
     try {
       URI uri = URI.create("http://" + Endpoint.of(address, metricsPort) + "/metrics");
       return new String(uri.toURL().openStream().readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      return "no answer: " + e;
+      return "no response: " + e;
     }
   }
 
-  private void awaitStatus(int address, int wanted) throws Exception {
-    long deadlineNs = System.nanoTime() + PATIENCE_MS * 1_000_000;
-    while (status(address) != wanted && System.nanoTime() < deadlineNs) {
+  private void awaitStatus(int address, int expected) throws Exception {
+    long deadlineNs = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    while (status(address) != expected && System.nanoTime() < deadlineNs) {
       Thread.sleep(50);
     }
-    assertThat(status(address)).isEqualTo(wanted);
+    assertThat(status(address)).isEqualTo(expected);
   }
 
   private int status(int address) {
@@ -266,7 +270,7 @@
     }
   }
 
-  private static StateSource sourceOf(FleetState state) {
+  private static StateSource sourceWith(FleetState state) {
     return new StateSource() {
       @Override
       public FleetState readAll() throws StateSourceException {
@@ -298,7 +302,7 @@
     };
   }
 
-  /** Takes all datagrams but the shortest for segments of one flow. */
+  /** Decodes every datagram but the shortest as a segment of one flow. */
   private static final class PlainCodec implements SegmentCodec {
     @Override
     public Segment decodeFromClient(ByteBuffer datagram) {
--- a/forwarding/src/test/java/io/moorstage/forwarding/daemon/StateConfirmationTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/daemon/StateConfirmationTest.java
@@ -5,9 +5,13 @@
 import io.moorstage.core.state.Revision;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against resets of flows that have a route. A state of an earlier era must not confirm this
+ * state: the source has been restored since and may hold a route that neither node has.
+ */
 class StateConfirmationTest {
   @Test
-  void peerThatKnowsNothingNewerConfirmsTheStateUnlessItIsOfAnEarlierEra() {
+  void peerConfirmsTheStateUnlessItIsNewerOrOfAnEarlierEra() {
     long own = Revision.of(2, 16);
     assertThat(StateConfirmation.confirms(own, own)).isTrue();
     assertThat(StateConfirmation.confirms(Revision.of(2, 15), own)).isTrue();
