--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
@@ -92,7 +92,7 @@
         sender.sendBeacon(beacon, balancer);
       }
     }
-    if (othersTimer.takeIfDue(periodMs, nowMs)) {
+    if (othersTimer.restartIfDue(periodMs, nowMs)) {
       for (int balancer : balancers.others(others, nowMs)) {
         sender.sendBeacon(beaconNow(nowMs), balancer);
       }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
@@ -97,7 +97,7 @@
     metrics.gauge(ForwardingGauge.STATE_ERA, () -> Revision.era(copy.revision()));
     metrics.gauge(ForwardingGauge.UNUSABLE_ITEMS, source::unusableItems);
     metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::answersWithoutEra);
-    metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::linesLeftOut);
+    metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::droppedLines);
   }
 
   @Override
@@ -135,7 +135,7 @@
         endpoints.start();
       }
       beacons.sendRegular(nowMs - startedAtMs, nowMs);
-      if (sweepTimer.takeIfDue(MainLoop.SWEEP_MS, nowMs)) {
+      if (sweepTimer.restartIfDue(MainLoop.SWEEP_MS, nowMs)) {
         agent.onSweep(nowMs);
         beacons.sweep(nowMs);
       }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -137,7 +137,7 @@
     metrics.gauge(ForwardingGauge.READY_TARGETS, () -> readyTargets(keeper.state()));
     metrics.gauge(ForwardingGauge.UNUSABLE_ITEMS, source::unusableItems);
     metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::answersWithoutEra);
-    metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::linesLeftOut);
+    metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::droppedLines);
   }
 
   private static long readyTargets(FleetState state) {
@@ -172,7 +172,7 @@
         Thread.sleep(MainLoop.TICK_MS);
       }
       if (policy.uses(Mechanism.PACED_START)) {
-        processorLag.awaitCalm(ENDPOINTS_AFTER_READY_MS);
+        processorLag.awaitLow(ENDPOINTS_AFTER_READY_MS);
       }
       endpoints.start();
     } catch (IOException e) {
@@ -200,13 +200,13 @@
       Thread.sleep(MainLoop.TICK_MS);
       throwEndpointFailure();
       long nowMs = MonotonicClock.nowMs();
-      processorLag.ran(nowMs - ranAtMs - MainLoop.TICK_MS);
+      processorLag.recordRun(nowMs - ranAtMs - MainLoop.TICK_MS);
       keeper.onTick(nowMs);
       balancer.onTick(nowMs);
-      if (beaconTimer.takeIfDue(BalancerBeacons.PERIOD_MS, nowMs)) {
+      if (beaconTimer.restartIfDue(BalancerBeacons.PERIOD_MS, nowMs)) {
         beacons.sendRegular(keeper.state(), nowMs);
       }
-      if (sweepTimer.takeIfDue(MainLoop.SWEEP_MS, nowMs)) {
+      if (sweepTimer.restartIfDue(MainLoop.SWEEP_MS, nowMs)) {
         balancer.onSweep(nowMs);
       }
       catchUp.fetchIfBehind(nowMs);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerMessageReceiver.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerMessageReceiver.java
@@ -52,6 +52,6 @@
    */
   final void onMalformed(int sender, String detail, long nowMs) {
     metrics.count(ForwardingCounter.BAD_PEER_DATAGRAMS);
-    badDatagram.occurred(sender, detail, nowMs);
+    badDatagram.record(sender, detail, nowMs);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/log/EventLog.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/log/EventLog.java
@@ -9,39 +9,46 @@
 import java.util.Deque;
 
 /**
- * Writes one line of key=value pairs for an event to standard output, from a thread of its own: the
- * data path puts lines into a bounded queue and never waits. Each second has a budget of lines;
- * lines about trouble have a larger one than others, and what is left out is counted and logged.
+ * Writes one line of key=value pairs for each event to standard output.
+ *
+ * <p>A separate thread writes the lines. The data path adds them to a bounded queue and never
+ * waits. The number of lines per second is limited, separately for normal and for abnormal events,
+ * with a higher limit for the latter. Lines beyond a limit are dropped, and their number is logged.
+ * Thread-safe.
  */
 public final class EventLog implements DecisionLog {
+  /** Maximum number of queued lines: some 17 s of both limits per second, less than 1 MB. */
+  private static final int MAX_QUEUED_LINES = 4_096;
+
   /**
-   * The most lines that wait for the writer. Not measured; chosen so that some 17 seconds of both
-   * budgets fit, which is under 1 MB.
+   * Maximum lines of normal events per second. The limit keeps the cost of logging far below the
+   * cost of handling requests.
    */
-  private static final int MAX_QUEUED = 4_096;
-
-  /** The most usual lines in a second. Not measured; chosen far below what a request costs. */
-  private static final int BUDGET_USUAL = 40;
+  private static final int MAX_NORMAL_LINES_PER_S = 40;
 
-  /** The most lines about trouble in a second. Not measured; chosen as five times the usual. */
-  private static final int BUDGET_TROUBLE = 200;
+  /** Maximum lines of abnormal events per second: five times the limit of normal events. */
+  private static final int MAX_ABNORMAL_LINES_PER_S = 200;
 
   private static final long SECOND_MS = 1_000;
 
   private final String nodeId;
   private final Deque<String> queue = new ArrayDeque<>();
   private long secondStartMs;
-  private int usualThisSecond;
-  private int troubleThisSecond;
-  private long leftOut;
-  private long leftOutInAll;
+  private int normalThisSecond;
+  private int abnormalThisSecond;
+  private long unreportedDrops;
+  private long droppedLines;
 
-  /** Creates a log for a process. */
+  /**
+   * Creates a log that queues lines; they are written after {@link #start()}.
+   *
+   * @param nodeId the name of the process, which is part of each line
+   */
   public EventLog(String nodeId) {
     this.nodeId = nodeId;
   }
 
-  /** Starts the thread that writes. */
+  /** Starts the thread that writes the queued lines. */
   public void start() {
     Thread writer = new Thread(() -> writeAll(System.out), "log-writer");
     writer.setDaemon(true);
@@ -49,17 +56,17 @@
   }
 
   /**
-   * Logs an event that does not belong to a flow.
+   * Logs an event that does not belong to a flow; it counts as abnormal.
    *
    * @param event the event's name
-   * @param fields pairs of key and value
+   * @param fields alternating keys and values
    */
   public void event(String event, Object... fields) {
     StringBuilder line = begin(event);
     for (int i = 0; i + 1 < fields.length; i += 2) {
       line.append(' ').append(fields[i]).append('=').append(quote(String.valueOf(fields[i + 1])));
     }
-    offer(line.toString(), true);
+    enqueueWithinLimit(line.toString(), true);
   }
 
   private static String quote(String value) {
@@ -74,7 +81,7 @@
 
   @Override
   public void decided(Decision decision, FlowId flow, int address, String reason, long ageMs) {
-    if (!takeBudget(decision.isAbnormal())) {
+    if (!admitLine(decision.isAbnormal())) {
       return;
     }
     StringBuilder line = begin(decision.logName()).append(" flow=").append(flow);
@@ -85,47 +92,50 @@
     if (ageMs >= 0) {
       line.append(" age-ms=").append(ageMs);
     }
-    put(line.toString());
+    enqueue(line.toString());
   }
 
-  private void offer(String line, boolean trouble) {
-    if (takeBudget(trouble)) {
-      put(line);
+  private void enqueueWithinLimit(String line, boolean abnormal) {
+    if (admitLine(abnormal)) {
+      enqueue(line);
     }
   }
 
-  private synchronized boolean takeBudget(boolean trouble) {
+  private synchronized boolean admitLine(boolean abnormal) {
     long nowMs = System.nanoTime() / 1_000_000;
     if (nowMs - secondStartMs >= SECOND_MS) {
       secondStartMs = nowMs;
-      usualThisSecond = 0;
-      troubleThisSecond = 0;
-      if (leftOut > 0) {
-        queue.add(begin("lines-left-out").append(" count=").append(leftOut).toString());
-        leftOut = 0;
+      normalThisSecond = 0;
+      abnormalThisSecond = 0;
+      if (unreportedDrops > 0) {
+        queue.add(begin("lines-left-out").append(" count=").append(unreportedDrops).toString());
+        unreportedDrops = 0;
         notifyAll();
       }
     }
-    boolean within =
-        trouble ? troubleThisSecond++ < BUDGET_TROUBLE : usualThisSecond++ < BUDGET_USUAL;
-    if (!within || queue.size() >= MAX_QUEUED) {
-      leftOut++;
-      leftOutInAll++;
+    boolean withinLimit =
+        abnormal
+            ? abnormalThisSecond++ < MAX_ABNORMAL_LINES_PER_S
+            : normalThisSecond++ < MAX_NORMAL_LINES_PER_S;
+    if (!withinLimit || queue.size() >= MAX_QUEUED_LINES) {
+      unreportedDrops++;
+      droppedLines++;
       return false;
     }
     return true;
   }
 
-  /** Returns how many lines were left out so far. */
-  public synchronized long linesLeftOut() {
-    return leftOutInAll;
+  /** Returns the total number of lines dropped so far. */
+  public synchronized long droppedLines() {
+    return droppedLines;
   }
 
-  private synchronized void put(String line) {
+  private synchronized void enqueue(String line) {
     queue.add(line);
     notifyAll();
   }
 
+  // Waits until lines are queued, and removes all of them.
   private synchronized String takeAll() throws InterruptedException {
     while (queue.isEmpty()) {
       wait();
@@ -148,7 +158,7 @@
     }
   }
 
-  /** Writes what is queued, before the process ends. */
+  /** Writes all lines that are still queued; called before the process ends. */
   public synchronized void flush() {
     while (!queue.isEmpty()) {
       System.out.println(queue.poll());
--- a/forwarding/src/main/java/io/moorstage/forwarding/log/StateChangeLog.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/log/StateChangeLog.java
@@ -11,15 +11,16 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Logs what a newer state changes for this node. */
+/** Logs the changes between the previous state of this node and a newer one. */
 public final class StateChangeLog {
   private final EventLog log;
 
+  /** Creates a log of changes that writes to an event log. */
   public StateChangeLog(EventLog log) {
     this.log = log;
   }
 
-  /** Logs a configuration of another version; returns whether there is one. */
+  /** Logs the configuration if its version has changed; returns whether it has. */
   public boolean logConfiguration(FleetState before, FleetState after) {
     ForwardingConfiguration configuration = after.configuration();
     if (configuration.version() == before.configuration().version()) {
@@ -47,14 +48,16 @@
   }
 
   /**
-   * Logs targets that are new, have started again, are in another phase or cold again; returns
-   * them.
+   * Logs the targets that are new, have restarted, have changed their phase, or are cold again,
+   * that is, whose slow start has become longer.
+   *
+   * @return the logged targets
    */
   public List<TargetRecord> logTargets(FleetState before, FleetState after) {
     List<TargetRecord> changed = new ArrayList<>(0);
     for (TargetRecord target : after.targets()) {
       TargetRecord known = before.target(target.id());
-      if (known == null || isOtherStart(known, target) || known.phase() != target.phase()) {
+      if (known == null || hasRestarted(known, target) || known.phase() != target.phase()) {
         changed.add(target);
         logTarget(target);
       } else if (known.slowStartMs() < target.slowStartMs()) {
@@ -72,11 +75,11 @@
     return changed;
   }
 
-  private static boolean isOtherStart(TargetRecord known, TargetRecord target) {
+  private static boolean hasRestarted(TargetRecord known, TargetRecord target) {
     return known.startNumber() != target.startNumber();
   }
 
-  /** Logs evacuations of zones that were set or lifted; returns whether there are any. */
+  /** Logs the evacuations of zones that were set or lifted; returns whether there were any. */
   public boolean logEvacuations(FleetState before, FleetState after) {
     Set<String> zonesBefore = before.evacuations().zones();
     Set<String> zonesAfter = after.evacuations().zones();
@@ -85,9 +88,10 @@
     return !zonesBefore.equals(zonesAfter);
   }
 
-  private void logZones(String event, Set<String> zones, Set<String> others, long revision) {
+  // Logs an event for each zone that is not among the excluded ones.
+  private void logZones(String event, Set<String> zones, Set<String> excluded, long revision) {
     for (String zone : zones) {
-      if (!others.contains(zone)) {
+      if (!excluded.contains(zone)) {
         log.event(event, "zone", zone, "revision", Revision.text(revision));
       }
     }
--- a/forwarding/src/main/java/io/moorstage/forwarding/log/ThrottledEvent.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/log/ThrottledEvent.java
@@ -3,25 +3,25 @@
 import io.moorstage.core.model.Endpoint;
 
 /**
- * An event that may come with each datagram: the first one is logged, then at most one line each
- * {@link #INTERVAL_MS} with the number of events since the last line. So a flood leaves the log's
- * budget of lines to others. Thread-safe.
+ * A rate-limited log event, for failures that may occur with each datagram. The first occurrence is
+ * logged immediately. After that, at most one line per {@link #INTERVAL_MS} is logged, with the
+ * number of occurrences since the previous line. A flood of failures therefore does not use up the
+ * log's limit of lines per second. Thread-safe.
  */
 public final class ThrottledEvent {
-  /**
-   * Time between two lines, in milliseconds. Not measured; chosen so that a line a second shows.
-   */
+  /** Minimum time between two lines, in milliseconds. */
   static final int INTERVAL_MS = 1_000;
 
   private final EventLog log;
   private final String event;
   private long nextLineAtMs = Long.MIN_VALUE;
-  private long sinceLastLine;
+  private long unloggedCount;
 
   /**
    * Creates an event that has not occurred yet.
    *
-   * @param event the name in the log
+   * @param log receives the lines
+   * @param event the event's name in the log
    */
   public ThrottledEvent(EventLog log, String event) {
     this.log = log;
@@ -29,28 +29,31 @@
   }
 
   /**
-   * The event has occurred.
+   * Records an occurrence, and logs it with the preceding ones if a line is due.
    *
    * @param peerAddress IPv4 address of the other node, its first octet in the highest bits
-   * @param detail what was wrong, a few words
-   * @param nowMs the monotonic clock, in milliseconds
+   * @param detail the cause in a few words
+   * @param nowMs the current time of the monotonic clock, in milliseconds
    */
-  public void occurred(int peerAddress, String detail, long nowMs) {
-    long count = takeCountForLine(nowMs);
+  public void record(int peerAddress, String detail, long nowMs) {
+    long count = countOccurrence(nowMs);
     if (count > 0) {
       String peer = Endpoint.of(peerAddress, 0).host();
       log.event(event, "peer", peer, "detail", detail, "count", count);
     }
   }
 
-  /** Counts an event; returns how many a line stands for, or 0 if no line is due. */
-  synchronized long takeCountForLine(long nowMs) {
-    sinceLastLine++;
+  /**
+   * Counts an occurrence. Returns the number of occurrences since the previous line if a line is
+   * due, or else 0.
+   */
+  synchronized long countOccurrence(long nowMs) {
+    unloggedCount++;
     if (nowMs < nextLineAtMs) {
       return 0;
     }
-    long count = sinceLastLine;
-    sinceLastLine = 0;
+    long count = unloggedCount;
+    unloggedCount = 0;
     nextLineAtMs = nowMs + INTERVAL_MS;
     return count;
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/log/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/log/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The event log: one line of key=value pairs for each event, bounded, and never waited for.
+ * The event log: one line of key=value pairs for each event, limited in lines per second. Logging
+ * never blocks the caller.
  *
  * <p>Owns the queue of lines and the thread that writes them.
  */
--- a/forwarding/src/main/java/io/moorstage/forwarding/net/HttpEndpoint.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/net/HttpEndpoint.java
@@ -11,39 +11,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A small HTTP server of this process: one path, one answer, on a few threads.
+ * A small HTTP server that serves one path on a few threads.
  *
- * <p>Connections may fall silent for good without a reset. One that does so within a request, or
- * that does not read its answer, holds a thread until it is closed by the time-outs.
+ * <p>A connection may stall permanently without a reset. A connection that stalls within a request,
+ * or whose client does not read the response, occupies a thread until the server's timeouts close
+ * it.
  */
 public final class HttpEndpoint {
-  /** The body of an answer of which the status alone counts. */
+  /** The body of a successful response that consists of the status alone. */
   public static final byte[] EMPTY_BODY = {};
 
-  /** So many silent callers hold nobody up; a node is called by the platform and a few peers. */
+  /**
+   * Maximum number of threads. Up to this many stalled connections don't delay other requests,
+   * which is enough since only the platform and a few peers call a node.
+   */
   static final int MAX_THREADS = 3;
 
-  /** Idle threads end: most calls come seconds apart. */
-  private static final int KEEP_THREAD_S = 10;
+  /** Time after which an idle thread ends: most requests arrive seconds apart. */
+  private static final int THREAD_KEEP_ALIVE_S = 10;
 
   /**
-   * The longest that a request or an answer may take. A state of 90 KB takes 75 ms at 10 Mbit/s;
-   * with the server's own clock of 1 s, a silent connection is closed within 3 s.
+   * Maximum time to receive a request, and to send a response. Sending a state of 90 KB takes 75 ms
+   * at 10 Mbit/s. Since the server checks its timeouts once a second, a stalled connection is
+   * closed within 3 s.
    */
-  private static final String MAX_S = "2";
+  private static final String MAX_TRANSFER_S = "2";
 
   static {
-    // The JDK's server reads these once, when its first instance is made; they have no setter.
-    System.setProperty("sun.net.httpserver.maxReqTime", MAX_S);
-    System.setProperty("sun.net.httpserver.maxRspTime", MAX_S);
+    // The JDK's server reads these properties when its first instance is created. There is no
+    // setter for them.
+    System.setProperty("sun.net.httpserver.maxReqTime", MAX_TRANSFER_S);
+    System.setProperty("sun.net.httpserver.maxRspTime", MAX_TRANSFER_S);
   }
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
   /**
-   * The most connections that wait to be accepted. Not measured; chosen above the nodes of a zone
-   * that ask for the state at one moment.
+   * Maximum number of connections that wait to be accepted; above the number of nodes of a zone
+   * that request the state at the same time.
    */
   private static final int BACKLOG = 64;
 
@@ -51,12 +57,12 @@
 
   private final HttpServer server;
 
-  /** Makes the body of an answer. */
+  /** Provides the body of a response. */
   public interface Content {
     /**
-     * Returns the body, or null if the process is not ready to answer.
+     * Returns the body, or null to respond with status 503 (unavailable).
      *
-     * @param query what stands behind the path, or null
+     * @param query the raw query string of the request, or null if it has none
      */
     byte[] body(String query);
   }
@@ -68,25 +74,27 @@
   /**
    * Binds a server and starts its threads.
    *
-   * @param path the one path that is answered
+   * @param path the path to serve
+   * @param content provides the body of each response; called concurrently by several threads
    * @throws IOException if the address can't be bound
    */
   public static HttpEndpoint start(Endpoint endpoint, String path, Content content)
       throws IOException {
     HttpServer server =
         HttpServer.create(UdpPort.socketAddress(endpoint.ipv4(), endpoint.port()), BACKLOG);
-    server.createContext(path, exchange -> answer(exchange, content));
-    server.setExecutor(threads(path));
+    server.createContext(path, exchange -> respond(exchange, content));
+    server.setExecutor(createExecutor(path));
     server.start();
     return new HttpEndpoint(server);
   }
 
-  // With all threads busy, the server's own thread answers, and takes no call meanwhile.
-  private static Executor threads(String path) {
+  // While all threads are busy, the server's dispatcher thread handles the request itself and
+  // accepts no other connection until it is done.
+  private static Executor createExecutor(String path) {
     return new ThreadPoolExecutor(
         0,
         MAX_THREADS,
-        KEEP_THREAD_S,
+        THREAD_KEEP_ALIVE_S,
         TimeUnit.SECONDS,
         new SynchronousQueue<>(),
         task -> {
@@ -97,7 +105,7 @@
         new ThreadPoolExecutor.CallerRunsPolicy());
   }
 
-  private static void answer(HttpExchange exchange, Content content) throws IOException {
+  private static void respond(HttpExchange exchange, Content content) throws IOException {
     byte[] body = content.body(exchange.getRequestURI().getRawQuery());
     if (body == null || body.length == 0) {
       exchange.sendResponseHeaders(body == null ? UNAVAILABLE : OK, NO_BODY);
--- a/forwarding/src/main/java/io/moorstage/forwarding/net/ProcessorLag.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/net/ProcessorLag.java
@@ -1,33 +1,43 @@
 package io.moorstage.forwarding.net;
 
 /**
- * Does this process get the processor when it wants it? It goes by how late a regular task runs.
- * What can wait, such as servers that a start needs last, waits until it does. Thread-safe.
+ * Detects from the delays of a periodic task whether this process gets processor time promptly.
+ * Work that is not urgent, such as starting the HTTP servers, is deferred until it does.
+ * Thread-safe.
  */
 public final class ProcessorLag {
-  /** A task that is late by less than this has found the processor free, but for short work. */
-  private static final int CALM_LAG_MS = 8;
+  /** Maximum delay of a run while the processor is free, apart from short tasks. */
+  private static final int MAX_LOW_LAG_MS = 8;
 
-  /** So many calm runs in a row show that no queue of datagrams is being worked off. */
-  private static final int CALM_RUNS = 4;
+  /** Consecutive runs with a low delay that rule out a backlog of datagrams. */
+  private static final int LOW_LAG_RUNS = 4;
 
   private static final int POLL_MS = 20;
 
-  private int calmRuns;
+  private int lowLagRuns;
 
-  /** The regular task has run later than it was due, in milliseconds. */
-  public synchronized void ran(long lateMs) {
-    calmRuns = lateMs <= CALM_LAG_MS ? calmRuns + 1 : 0;
+  /**
+   * Records a run of the periodic task.
+   *
+   * @param delayMs time by which the run was later than due, in milliseconds
+   */
+  public synchronized void recordRun(long delayMs) {
+    lowLagRuns = delayMs <= MAX_LOW_LAG_MS ? lowLagRuns + 1 : 0;
   }
 
-  synchronized boolean isCalm() {
-    return calmRuns >= CALM_RUNS;
+  /** Returns whether the delays of the most recent runs were all low. */
+  synchronized boolean isLow() {
+    return lowLagRuns >= LOW_LAG_RUNS;
   }
 
-  /** Waits until the processor is free, but not longer than some time. */
-  public void awaitCalm(int atMostMs) throws InterruptedException {
-    long deadlineMs = MonotonicClock.nowMs() + atMostMs;
-    while (!isCalm() && MonotonicClock.nowMs() < deadlineMs) {
+  /**
+   * Waits until the lag is low or the timeout has expired.
+   *
+   * @param timeoutMs maximum time to wait, in milliseconds
+   */
+  public void awaitLow(int timeoutMs) throws InterruptedException {
+    long deadlineMs = MonotonicClock.nowMs() + timeoutMs;
+    while (!isLow() && MonotonicClock.nowMs() < deadlineMs) {
       Thread.sleep(POLL_MS);
     }
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/net/TargetCheck.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/net/TargetCheck.java
@@ -7,40 +7,55 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Finds out whether the target's process runs: opens a connection to its port and closes it. Checks
- * run on a thread of their own, one at a time.
+ * Checks whether the target's process runs, by opening a connection to its port and closing it.
+ * Requested checks run on a separate thread, one at a time.
  */
 public final class TargetCheck {
-  /** The target is on the same machine; one that is busy accepts within some milliseconds. */
+  /** The target is on the same machine, where a busy target accepts within a few milliseconds. */
   private static final int CONNECT_TIMEOUT_MS = 200;
 
   private final InetSocketAddress target;
   private final Listener listener;
   private final Semaphore requests = new Semaphore(0);
 
-  /** Takes what checks find. */
+  /** Receives the results of checks. */
   public interface Listener {
-    /** Takes whether the machine has refused the connection, since no process has the port. */
+    /**
+     * Handles the result of a check.
+     *
+     * @param refused whether the machine refused the connection, as no process listens on the port
+     */
     void onChecked(boolean refused);
   }
 
+  /**
+   * Creates a check that runs nothing before {@link #start()}.
+   *
+   * @param target the address at which the target accepts connections
+   * @param listener receives each result, on the thread that ran the check
+   */
   public TargetCheck(InetSocketAddress target, Listener listener) {
     this.target = target;
     this.listener = listener;
   }
 
+  /** Starts the thread that runs requested checks. */
   public void start() {
     Thread thread = new Thread(this::checkForever, "target-check");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Asks for a check; those asked for meanwhile are one. */
+  /** Requests a check. Requests that arrive while a check runs are combined into one check. */
   public void request() {
     requests.release();
   }
 
-  /** Checks twice, at once and on the caller's thread: a first refusal is not believed. */
+  /**
+   * Runs two checks immediately, on the caller's thread. The listener needs two consecutive
+   * refusals to regard the target as ended, since a process that is about to start does not listen
+   * yet.
+   */
   public void runTwice() {
     listener.onChecked(isRefused());
     listener.onChecked(isRefused());
@@ -58,7 +73,8 @@
     }
   }
 
-  // Whatever else goes wrong says nothing of the process, and the target counts as running.
+  // Other failures, such as a timeout, don't show that the process has ended, so the target counts
+  // as running.
   private boolean isRefused() {
     try (Socket socket = new Socket()) {
       socket.connect(target, CONNECT_TIMEOUT_MS);
--- a/forwarding/src/main/java/io/moorstage/forwarding/net/UdpPort.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/net/UdpPort.java
@@ -13,16 +13,20 @@
 import javax.annotation.Nullable;
 
 /**
- * A UDP socket with a thread that takes datagrams; sending never waits for a peer. It is created
- * without a socket, so that what sends over it can be built before the port is bound.
+ * A UDP socket with a thread that receives datagrams. Sending never waits for a peer. An instance
+ * is created without a socket, so that the objects that send over it can be created before the port
+ * is bound.
  */
 public final class UdpPort {
-  /** Above the 1,232 bytes of the longest segment and the 1,500 that a link takes whole. */
+  /**
+   * Maximum length of a datagram. Above the longest segment, 1,232 bytes, and the 1,500 bytes that
+   * a link carries without fragmentation.
+   */
   public static final int MAX_DATAGRAM_BYTES = 2_048;
 
   /**
-   * What the system may hold of datagrams that are not read yet. Not measured; chosen so that some
-   * 800 of the longest segments survive a pause of the receiving thread; the system may grant less.
+   * Size of the system's buffer for datagrams that have not been received yet. It holds some 800 of
+   * the longest segments during a pause of the receiving thread. The system may grant less.
    */
   private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
 
@@ -34,22 +38,22 @@
   private final ThrottledEvent sendFailure;
   @Nullable private volatile DatagramChannel channel;
 
-  /** Takes datagrams. */
+  /** Handles received datagrams. */
   public interface Receiver {
     /**
-     * Takes a datagram.
+     * Handles a datagram.
      *
-     * @param sourceAddress the sender's IPv4 address
-     * @param datagram valid until the call returns
+     * @param sourceAddress the sender's IPv4 address, its first octet in the highest bits
+     * @param datagram the content; valid until the call returns
      */
     void receive(int sourceAddress, ByteBuffer datagram);
   }
 
   /**
-   * Creates a port; nothing is bound before {@link #bind()}.
+   * Creates a port that is not bound before {@link #bind()}.
    *
    * @param endpoint the address and port to bind
-   * @param log takes failures to receive, and those to send at most once a second
+   * @param log receives each failure to receive, and failures to send at most once a second
    */
   public UdpPort(Endpoint endpoint, EventLog log) {
     this.endpoint = endpoint;
@@ -58,7 +62,7 @@
   }
 
   /**
-   * Binds the port, which can send from now on; {@link #start} begins to take datagrams.
+   * Binds the port, which can send from then on; {@link #start} begins to receive datagrams.
    *
    * @throws IOException if the address can't be bound
    */
@@ -78,11 +82,12 @@
     try {
       return new InetSocketAddress(InetAddress.getByAddress(octets), port);
     } catch (UnknownHostException e) {
-      throw new IllegalStateException("four octets are an address", e);
+      throw new IllegalStateException(
+          "an array of 4 octets was not accepted as an IPv4 address", e);
     }
   }
 
-  /** Starts the thread that takes datagrams; the port is bound before. */
+  /** Starts the thread that receives datagrams. The port must be bound before. */
   public void start(String threadName, Receiver receiver) {
     Thread thread = new Thread(() -> receiveAll(receiver), threadName);
     thread.setDaemon(true);
@@ -101,7 +106,7 @@
           receiver.receive(addressOf(source), buffer);
         }
       } catch (IOException e) {
-        // An unreachable peer shows here on some systems; the socket itself stays usable.
+        // Some systems report an unreachable peer as a receive error; the socket stays usable.
         log.event("receive-failed", "detail", e.getClass().getSimpleName());
       } catch (RuntimeException e) {
         log.event("internal-error", "detail", String.valueOf(e));
@@ -118,16 +123,16 @@
   }
 
   /**
-   * Sends a datagram from the bound port. A failure is the same to a caller as a loss on the way:
-   * the sender of a segment repeats it, and the next beacon makes up for the last. It is logged as
-   * {@code send-failed}, at most once a second.
+   * Sends a datagram from the bound port. A failure is logged as {@code send-failed}, at most once
+   * a second, and not reported to the caller, to whom it is equivalent to a loss in the network:
+   * the sender of a segment retransmits it, and the next beacon replaces a lost one.
    */
   public void send(ByteBuffer datagram, InetSocketAddress destination) {
     try {
       channel.send(datagram, destination);
     } catch (IOException e) {
       String detail = e.getClass().getSimpleName();
-      sendFailure.occurred(addressOf(destination), detail, MonotonicClock.nowMs());
+      sendFailure.record(addressOf(destination), detail, MonotonicClock.nowMs());
     }
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/net/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/net/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Sockets, clock and processor: UDP ports, small HTTP servers, the connection that checks a target,
- * the monotonic clock, and how late this process gets the processor.
+ * Access to sockets, clock and processor: UDP ports, small HTTP servers, the check of a target's
+ * port, the monotonic clock, and the lag with which this process gets processor time.
  *
- * <p>Owns sockets and their threads. Decides nothing about flows; relies on the log alone.
+ * <p>Owns sockets and their threads. Makes no decisions about flows; of the other packages of this
+ * module, it depends on the log only.
  */
 package io.moorstage.forwarding.net;
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/SourceFollower.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/SourceFollower.java
@@ -154,7 +154,7 @@
     }
     boolean known = keeper.state().revision() > 0;
     if (known && conditions.policy().uses(Mechanism.PACED_START)) {
-      conditions.processorLag().awaitCalm(CONFIRM_WITHIN_MS);
+      conditions.processorLag().awaitLow(CONFIRM_WITHIN_MS);
     }
     return known;
   }
--- a/forwarding/src/test/java/io/moorstage/forwarding/log/ThrottledEventTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/log/ThrottledEventTest.java
@@ -4,6 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a flood of one event, for example one per datagram, that uses up the log's limit
+ * of lines per second and so displaces the lines of other events.
+ */
 class ThrottledEventTest {
   private static final long START_MS = 5_000;
 
@@ -11,24 +15,24 @@
   private final ThrottledEvent event = new ThrottledEvent(log, "send-failed");
 
   @Test
-  void firstEventIsLoggedAtOnce() {
-    assertThat(event.takeCountForLine(START_MS)).isEqualTo(1);
+  void firstOccurrenceIsLoggedImmediately() {
+    assertThat(event.countOccurrence(START_MS)).isEqualTo(1);
   }
 
   @Test
-  void floodIsOneLineASecondWithItsCount() {
-    event.takeCountForLine(START_MS);
+  void floodIsLoggedAsOneLinePerSecondWithItsCount() {
+    event.countOccurrence(START_MS);
     for (int i = 0; i < 500; i++) {
-      assertThat(event.takeCountForLine(START_MS + 1 + i)).isEqualTo(0);
+      assertThat(event.countOccurrence(START_MS + 1 + i)).isEqualTo(0);
     }
-    assertThat(event.takeCountForLine(START_MS + ThrottledEvent.INTERVAL_MS)).isEqualTo(501);
+    assertThat(event.countOccurrence(START_MS + ThrottledEvent.INTERVAL_MS)).isEqualTo(501);
   }
 
   @Test
-  void floodLeavesNoLineOfOthersOut() {
+  void floodCausesNoDroppedLines() {
     for (int i = 0; i < 10_000; i++) {
-      event.occurred(0x0A000001, "no route", START_MS);
+      event.record(0x0A000001, "no route", START_MS);
     }
-    assertThat(log.linesLeftOut()).isEqualTo(0);
+    assertThat(log.droppedLines()).isEqualTo(0);
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/net/HttpEndpointTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/net/HttpEndpointTest.java
@@ -18,22 +18,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections may fall silent for good without a reset, in the middle of a request or answer. */
+/**
+ * Guards against connections that occupy all threads of an endpoint. A connection may stall
+ * permanently without a reset, within a request or while the response is sent.
+ */
 class HttpEndpointTest {
   private static final int LOOPBACK = 0x7F000001;
-  private static final int PATIENCE_MS = 20_000;
+  private static final int TIMEOUT_MS = 20_000;
 
-  /** More than the buffers of a connection hold. */
+  /** Response size that exceeds the buffers of a connection, so that sending it blocks. */
   private static final int LARGE_BYTES = 24 << 20;
 
-  private final List<Socket> silent = new ArrayList<>();
+  private final List<Socket> stalledSockets = new ArrayList<>();
   private HttpEndpoint endpoint;
   private int port;
 
   @BeforeEach
   void start() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+    try (ServerSocket temporary = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      port = temporary.getLocalPort();
     }
     byte[] large = new byte[LARGE_BYTES];
     byte[] small = {1};
@@ -44,7 +47,7 @@
 
   @AfterEach
   void stop() throws IOException {
-    for (Socket socket : silent) {
+    for (Socket socket : stalledSockets) {
       socket.close();
     }
     endpoint.stop();
@@ -52,42 +55,42 @@
 
   private Socket send(String text) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-    silent.add(socket);
-    socket.setSoTimeout(PATIENCE_MS);
+    stalledSockets.add(socket);
+    socket.setSoTimeout(TIMEOUT_MS);
     OutputStream out = socket.getOutputStream();
     out.write(text.getBytes(StandardCharsets.US_ASCII));
     out.flush();
     return socket;
   }
 
-  private void assertAnswers() throws IOException {
-    HttpURLConnection call =
+  private void assertResponds() throws IOException {
+    HttpURLConnection connection =
         (HttpURLConnection) new URL("http://127.0.0.1:" + port + "/").openConnection();
-    call.setConnectTimeout(PATIENCE_MS);
-    call.setReadTimeout(PATIENCE_MS);
-    try (InputStream in = call.getInputStream()) {
+    connection.setConnectTimeout(TIMEOUT_MS);
+    connection.setReadTimeout(TIMEOUT_MS);
+    try (InputStream in = connection.getInputStream()) {
       assertThat(in.readAllBytes()).isEqualTo(new byte[] {1});
     }
   }
 
   @Test
-  void callersThatFallSilentWithinTheirRequestHoldNobodyUp() throws IOException {
+  void clientsThatStallWithinTheirRequestDoNotBlockOtherRequests() throws IOException {
     for (int i = 0; i < 2 * HttpEndpoint.MAX_THREADS; i++) {
       send("GET / HTTP/1.1\r\nHo");
     }
-    assertAnswers();
+    assertResponds();
   }
 
   @Test
-  void callersThatDoNotReadTheirAnswerHoldNobodyUp() throws IOException {
+  void clientsThatDoNotReadTheirResponseDoNotBlockOtherRequests() throws IOException {
     for (int i = 0; i < 2 * HttpEndpoint.MAX_THREADS; i++) {
       send("GET /?large HTTP/1.1\r\nHost: a\r\n\r\n");
     }
-    assertAnswers();
+    assertResponds();
   }
 
   @Test
-  void connectionThatFallsSilentWithinARequestIsClosed() throws IOException {
+  void connectionThatStallsWithinARequestIsClosed() throws IOException {
     Socket socket = send("GET / HTTP/1.1\r\nHo");
     assertThat(socket.getInputStream().read()).isEqualTo(-1);
   }
--- a/forwarding/src/test/java/io/moorstage/forwarding/net/ProcessorLagTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/net/ProcessorLagTest.java
@@ -4,36 +4,40 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against deferred start work that begins while the processor is still busy, or never begins
+ * because the processor stays busy.
+ */
 class ProcessorLagTest {
   private final ProcessorLag lag = new ProcessorLag();
 
-  private void runs(int count, int lateMs) {
+  private void recordRuns(int count, int delayMs) {
     for (int run = 0; run < count; run++) {
-      lag.ran(lateMs);
+      lag.recordRun(delayMs);
     }
   }
 
   @Test
-  void processIsNotCalmBeforeItHasRunOnTimeForAWhile() {
-    assertThat(lag.isCalm()).isFalse();
-    runs(3, 1);
-    assertThat(lag.isCalm()).isFalse();
-    runs(1, 1);
-    assertThat(lag.isCalm()).isTrue();
+  void lagIsLowOnlyAfterSeveralRunsOnTime() {
+    assertThat(lag.isLow()).isFalse();
+    recordRuns(3, 1);
+    assertThat(lag.isLow()).isFalse();
+    recordRuns(1, 1);
+    assertThat(lag.isLow()).isTrue();
   }
 
   @Test
-  void lateRunBeginsTheCountAgain() {
-    runs(10, 0);
-    lag.ran(60);
-    assertThat(lag.isCalm()).isFalse();
-    runs(4, 0);
-    assertThat(lag.isCalm()).isTrue();
+  void lateRunRestartsTheCount() {
+    recordRuns(10, 0);
+    lag.recordRun(60);
+    assertThat(lag.isLow()).isFalse();
+    recordRuns(4, 0);
+    assertThat(lag.isLow()).isTrue();
   }
 
   @Test
-  void waitEndsThoughTheProcessIsNeverCalm() throws Exception {
-    lag.awaitCalm(50);
-    assertThat(lag.isCalm()).isFalse();
+  void waitTimesOutIfTheLagNeverBecomesLow() throws Exception {
+    lag.awaitLow(50);
+    assertThat(lag.isLow()).isFalse();
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/net/TickTimerTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/net/TickTimerTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against periodic tasks that are skipped, or run several times in a row after a delay. */
 class TickTimerTest {
   private static final int PERIOD_MS = 500;
 
@@ -11,21 +12,21 @@
 
   @Test
   void firstTickIsDue() {
-    assertThat(timer.takeIfDue(PERIOD_MS, 1)).isTrue();
+    assertThat(timer.restartIfDue(PERIOD_MS, 1)).isTrue();
   }
 
   @Test
   void nextRunIsDueAfterThePeriod() {
-    timer.takeIfDue(PERIOD_MS, 1_000);
-    assertThat(timer.takeIfDue(PERIOD_MS, 1_499)).isFalse();
-    assertThat(timer.takeIfDue(PERIOD_MS, 1_500)).isTrue();
+    timer.restartIfDue(PERIOD_MS, 1_000);
+    assertThat(timer.restartIfDue(PERIOD_MS, 1_499)).isFalse();
+    assertThat(timer.restartIfDue(PERIOD_MS, 1_500)).isTrue();
   }
 
   @Test
-  void lateRunIsNotMadeUpFor() {
-    timer.takeIfDue(PERIOD_MS, 1_000);
-    assertThat(timer.takeIfDue(PERIOD_MS, 2_400)).isTrue();
-    assertThat(timer.takeIfDue(PERIOD_MS, 2_500)).isFalse();
-    assertThat(timer.takeIfDue(PERIOD_MS, 2_900)).isTrue();
+  void lateRunStartsANewPeriodWithoutExtraRuns() {
+    timer.restartIfDue(PERIOD_MS, 1_000);
+    assertThat(timer.restartIfDue(PERIOD_MS, 2_400)).isTrue();
+    assertThat(timer.restartIfDue(PERIOD_MS, 2_500)).isFalse();
+    assertThat(timer.restartIfDue(PERIOD_MS, 2_900)).isTrue();
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/net/UdpPortTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/net/UdpPortTest.java
@@ -12,36 +12,40 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against failures to send that reach the caller or flood the log. The system rejects, for
+ * example, a datagram that is too long.
+ */
 class UdpPortTest {
   private static final int LOOPBACK = 0x7F000001;
 
-  /** No datagram of IPv4 is so long: the system refuses to send it. */
-  private static final int TOO_LONG_BYTES = 70_000;
+  /** Exceeds the maximum length of an IPv4 datagram, so that the system rejects it. */
+  private static final int EXCESSIVE_BYTES = 70_000;
 
   private final EventLog log = new EventLog("node");
 
   @Test
-  void datagramThatTheSystemRefusesIsLoggedWithItsReceiverAndNotThrown() throws IOException {
+  void sendFailureIsLoggedOnceWithTheReceiverAndNotThrown() throws IOException {
     UdpPort port = new UdpPort(Endpoint.of(LOOPBACK, 0), log);
     port.bind();
     InetSocketAddress receiver = UdpPort.socketAddress(LOOPBACK, 9);
     for (int i = 0; i < 3; i++) {
-      port.send(ByteBuffer.allocate(TOO_LONG_BYTES), receiver);
+      port.send(ByteBuffer.allocate(EXCESSIVE_BYTES), receiver);
     }
-    String lines = flushed();
+    String lines = flushedLines();
     assertThat(lines).contains("event=send-failed peer=127.0.0.1 detail=");
     assertThat(lines.split("send-failed", -1)).hasLength(2);
   }
 
-  private String flushed() {
-    PrintStream before = System.out;
-    ByteArrayOutputStream taken = new ByteArrayOutputStream();
-    System.setOut(new PrintStream(taken, true, StandardCharsets.UTF_8));
+  private String flushedLines() {
+    PrintStream originalOut = System.out;
+    ByteArrayOutputStream captured = new ByteArrayOutputStream();
+    System.setOut(new PrintStream(captured, true, StandardCharsets.UTF_8));
     try {
       log.flush();
     } finally {
-      System.setOut(before);
+      System.setOut(originalOut);
     }
-    return taken.toString(StandardCharsets.UTF_8);
+    return captured.toString(StandardCharsets.UTF_8);
   }
 }
