--- a/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingGauge.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingGauge.java
@@ -2,19 +2,20 @@
 
 import java.util.Locale;
 
-/** What a forwarding daemon holds at a moment. */
+/** The gauges of a forwarding daemon: its current values. */
 public enum ForwardingGauge {
-  FLOWS("Flows that this node remembers."),
+  FLOWS("Flows in this node's flow table."),
   REQUESTS("Agent: flows with a request in progress or waiting."),
-  BALANCERS("Balancers heard from within 3 s."),
-  STATE_REVISION("Revision of the source up to which this node knows all."),
-  STATE_ERA("Era of that revision: how often the source had come back from an older copy."),
-  CONFIGURATION_VERSION("Balancer: version of the configuration that it acts on."),
-  STATE_AGE_MS("Balancer: milliseconds since the source confirmed the state; -1 if it never did."),
-  READY_TARGETS("Balancer: targets that take new flows."),
-  UNUSABLE_ITEMS("Balancer: items of the source left out so far, since they could not be read."),
-  ANSWERS_WITHOUT_ERA("Answers of the source so far that named no era, or none that can be read."),
-  LINES_LEFT_OUT("Log lines left out so far, beyond the budget of their second.");
+  BALANCERS("Balancers whose latest beacon is at most 3 s old."),
+  STATE_REVISION("Revision of the source up to which this node has all changes."),
+  STATE_ERA("Era of that revision: how often the source had been restored from an older copy."),
+  CONFIGURATION_VERSION("Balancer: version of the configuration in use."),
+  STATE_AGE_MS(
+      "Balancer: milliseconds since the source last confirmed the state; -1 before the first time."),
+  READY_TARGETS("Balancer: targets that are listed as ready for new flows."),
+  UNUSABLE_ITEMS("Items of the source skipped so far because they could not be read."),
+  ANSWERS_WITHOUT_ERA("Responses of the source so far without a readable era."),
+  LINES_LEFT_OUT("Log lines dropped so far due to the limits per second or a full queue.");
 
   private final String meaning;
 
@@ -22,12 +23,12 @@
     this.meaning = meaning;
   }
 
-  /** Returns the name in the exposition. */
+  /** Returns the name of the metric in the exposition. */
   String metricName() {
     return "moorstage_forwarding_" + name().toLowerCase(Locale.ROOT);
   }
 
-  /** Returns what it shows, one sentence. */
+  /** Returns one sentence that describes the value. */
   String meaning() {
     return meaning;
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingMetrics.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingMetrics.java
@@ -14,13 +14,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts what a forwarding daemon decides and meets, and serves it in Prometheus's text format.
+ * Counts the decisions and events of a forwarding daemon, and serves the metrics in Prometheus's
+ * text format. Thread-safe, except for {@link #gauge}.
  *
- * <p>A few dozen numbers: a metrics library would cost more at the start than all that is counted
- * here. Every decision is counted, also those that the log leaves out.
+ * <p>No metrics library is used: for these few dozen values, it would cost more at the start of the
+ * process than all the counting. Every decision is counted, including those whose log lines are
+ * dropped.
  */
 public final class ForwardingMetrics implements DecisionLog {
-  /** Path of the exposition. */
+  /** The path at which the metrics are served. */
   static final String PATH = "/metrics";
 
   private static final String DECISIONS = "moorstage_forwarding_decisions_total";
@@ -32,23 +34,28 @@
   private final Map<ForwardingGauge, LongSupplier> gauges = new EnumMap<>(ForwardingGauge.class);
 
   /**
-   * Creates metrics.
+   * Creates metrics whose counters are 0.
    *
-   * @param log takes each decision after it was counted
+   * @param log receives each decision after it has been counted
    */
   public ForwardingMetrics(DecisionLog log) {
     this.log = log;
   }
 
-  /** Names where a gauge's value comes from; before the metrics are served. */
+  /**
+   * Registers the supplier of a gauge's value. Gauges must be registered before the metrics are
+   * served; a gauge without a supplier is not served.
+   */
   public void gauge(ForwardingGauge gauge, LongSupplier value) {
     gauges.put(gauge, value);
   }
 
+  /** Increments a counter by one. */
   public void count(ForwardingCounter counter) {
     counters.incrementAndGet(counter.ordinal());
   }
 
+  /** Increments a counter by an amount. */
   public void add(ForwardingCounter counter, long amount) {
     counters.addAndGet(counter.ordinal(), amount);
   }
@@ -64,7 +71,11 @@
   }
 
   /**
-   * Serves the values over HTTP. Without the port, the daemon goes on: its data path matters more.
+   * Starts to serve the metrics over HTTP. If the port can't be bound, this is logged and the
+   * daemon continues without it, since forwarding does not depend on metrics.
+   *
+   * @param endpoint the address and port to bind
+   * @param events receives the failure to bind
    */
   public void serve(Endpoint endpoint, EventLog events) {
     try {
@@ -74,7 +85,7 @@
     }
   }
 
-  /** Returns all values; what is zero is shown too. */
+  /** Returns the current values in Prometheus's text format, including those that are zero. */
   byte[] exposition() {
     StringBuilder text = new StringBuilder(2_048);
     for (Decision decision : Decision.values()) {
@@ -91,13 +102,14 @@
     return text.toString().getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns the page that describes all metrics. */
+  /** Returns the content of docs/METRICS.md, which describes all metrics. */
   static String reference() {
     StringBuilder page = new StringBuilder(4_096);
     page.append("# Metrics of balancer and agent\n\n");
-    page.append("<!-- Generated from the code; a test compares. -->\n\n");
+    page.append("<!-- Generated from the code; a test compares this page with it. -->\n\n");
     page.append(
-        "`GET /metrics` at the port that the settings name, in Prometheus's text format.\n\n");
+        "`GET /metrics` at the port of the setting `node.metrics-port`, in Prometheus's text format."
+            + "\n\n");
     page.append("| metric | kind | meaning |\n|---|---|---|\n");
     page.append(row(DECISIONS + "{decision}", "counter", DECISIONS_MEANING));
     for (ForwardingCounter counter : ForwardingCounter.values()) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/metrics/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/metrics/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Counters and gauges of a daemon, and the page that shows them.
+ * The counters and gauges of a daemon, and the HTTP endpoint that serves them.
  *
- * <p>Owns the numbers. Names of metrics are what dashboards read, and stay.
+ * <p>Owns the counters. The names of metrics do not change, since dashboards refer to them.
  */
 package io.moorstage.forwarding.metrics;
--- a/forwarding/src/test/java/io/moorstage/forwarding/metrics/ForwardingMetricsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/metrics/ForwardingMetricsTest.java
@@ -14,6 +14,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against metrics that are missing from the exposition, from the counters of source failures
+ * or from the reference page.
+ */
 class ForwardingMetricsTest {
   private static final FlowId FLOW = new FlowId(1, 2, 3, 4);
 
@@ -22,20 +26,21 @@
   }
 
   @Test
-  void everyDecisionIsCountedAndPassedOn() {
-    List<Decision> passedOn = new ArrayList<>();
+  void everyDecisionIsCountedAndPassedToTheLog() {
+    List<Decision> loggedDecisions = new ArrayList<>();
     ForwardingMetrics metrics =
-        new ForwardingMetrics((decision, flow, address, reason, ageMs) -> passedOn.add(decision));
+        new ForwardingMetrics(
+            (decision, flow, address, reason, ageMs) -> loggedDecisions.add(decision));
     metrics.decided(Decision.PLACED, FLOW, 0, "new", 0);
     metrics.decided(Decision.PLACED, FLOW, 0, "new", 0);
 
-    assertThat(passedOn).hasSize(2);
+    assertThat(loggedDecisions).hasSize(2);
     assertThat(lines(metrics))
         .contains("moorstage_forwarding_decisions_total{decision=\"placed\"} 2");
   }
 
   @Test
-  void countersAndGaugesAreTold() {
+  void countersAndGaugesAreExposed() {
     ForwardingMetrics metrics = new ForwardingMetrics(DecisionLog.NONE);
     metrics.count(ForwardingCounter.BAD_PEER_DATAGRAMS);
     metrics.add(ForwardingCounter.BEACON_BYTES, 120);
@@ -54,7 +59,7 @@
   }
 
   @Test
-  void pageDescribesAllMetrics() throws IOException {
+  void referencePageDescribesAllMetrics() throws IOException {
     Path page = Path.of("..", "docs", "METRICS.md");
     assertThat(Files.readString(page)).isEqualTo(ForwardingMetrics.reference());
   }
