--- a/forwarding/src/main/java/io/moorstage/forwarding/settings/ForwardingSettings.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/settings/ForwardingSettings.java
@@ -13,22 +13,24 @@
 import javax.annotation.Nullable;
 
 /**
- * The checked settings of a forwarding daemon.
+ * The validated settings of a forwarding daemon.
  *
  * @param nodeId name of the process
- * @param zone zone that it runs in
- * @param address address of its machine
- * @param peerPort UDP port, the same on all machines, for what nodes send each other
- * @param statePort TCP port, the same on all machines, at which nodes hand out their state
- * @param metricsPort TCP port at which metrics are served
- * @param readiness where readiness is answered
- * @param seeds nodes that may know the fleet; only their addresses count
- * @param source where the configuration source answers
- * @param clientEndpoint balancer: takes clients' segments; agent: its port is the clients' port
- * @param target agent only: where the target takes segments
+ * @param zone zone in which the process runs
+ * @param address IPv4 address of the machine
+ * @param peerPort UDP port for messages between nodes, the same on all machines
+ * @param statePort TCP port at which nodes serve their state to each other, the same on all
+ *     machines
+ * @param metricsPort TCP port at which the metrics are served
+ * @param readiness address and port at which readiness is served
+ * @param seeds nodes to contact first in order to discover the fleet; their ports are ignored
+ * @param source address and port of the configuration source
+ * @param clientEndpoint balancer: where it receives the segments of clients; agent: only the port
+ *     is used, which is that of the clients
+ * @param target agent only: where the target receives segments
  * @param egress agent only: where the target sends its segments
- * @param service agent only: the target's service
- * @param switchedOff mechanisms that an experiment does without; none in operation
+ * @param service agent only: name of the target's service
+ * @param switchedOff mechanisms that are switched off for an experiment; empty in operation
  */
 public record ForwardingSettings(
     String nodeId,
@@ -46,37 +48,38 @@
     @Nullable String service,
     Set<Mechanism> switchedOff) {
 
-  /** Returns the policy that these settings ask for. */
+  /** Returns the standard policy without the mechanisms that are switched off. */
   public ForwardingPolicy policy() {
     return ForwardingPolicy.STANDARD.without(switchedOff);
   }
 
-  /** The largest settings file, in bytes. */
+  /** Maximum size of a settings file, in bytes. */
   public static final int MAX_FILE_BYTES = 1 << 16;
 
-  /** The two programs. */
+  /** The two programs that have settings. */
   public enum Program {
-    /** Takes clients' segments. */
+    /** Forwards the segments of clients to targets. */
     BALANCER,
-    /** Runs beside a target. */
+    /** Runs on the machine of a target. */
     AGENT
   }
 
   /**
    * Reads a settings file.
    *
-   * @throws ForwardingSettingsException with everything that is wrong with the file
+   * @throws ForwardingSettingsException if the file can't be read, is too large or has invalid
+   *     settings; contains all problems found
    */
   public static ForwardingSettings load(Program program, Path file)
       throws ForwardingSettingsException {
     try (InputStream input = Files.newInputStream(file)) {
       byte[] content = input.readNBytes(MAX_FILE_BYTES + 1);
       if (content.length > MAX_FILE_BYTES) {
-        throw unreadable("is larger than " + MAX_FILE_BYTES + " bytes");
+        throw unreadable("file is larger than " + MAX_FILE_BYTES + " bytes");
       }
       return parse(program, new String(content, StandardCharsets.UTF_8));
     } catch (IOException e) {
-      throw unreadable("can't be read");
+      throw unreadable("file can't be read");
     }
   }
 
@@ -88,7 +91,7 @@
   /**
    * Reads settings from text.
    *
-   * @throws ForwardingSettingsException with everything that is wrong with the text
+   * @throws ForwardingSettingsException if the text has invalid settings; contains all problems
    */
   public static ForwardingSettings parse(Program program, String text)
       throws ForwardingSettingsException {
--- a/forwarding/src/main/java/io/moorstage/forwarding/settings/ForwardingSettingsException.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/settings/ForwardingSettingsException.java
@@ -3,19 +3,23 @@
 import io.moorstage.core.error.MoorstageException;
 import java.util.List;
 
-/** A settings file is refused; all that is wrong with it is reported at once. */
+/** Thrown when a settings file is rejected. Contains all problems of the file. */
 public final class ForwardingSettingsException extends MoorstageException {
   private static final long serialVersionUID = 1L;
 
   private final transient List<SettingsProblem> problems;
 
-  /** Creates an exception from at least one problem. */
+  /**
+   * Creates an exception whose failure is that of the first problem.
+   *
+   * @param problems at least one problem
+   */
   public ForwardingSettingsException(List<SettingsProblem> problems) {
-    super(problems.get(0).kind(), problems.size() + " problems in the settings");
+    super(problems.get(0).kind(), "settings rejected, problems found: " + problems.size());
     this.problems = List.copyOf(problems);
   }
 
-  /** Returns all that is wrong. */
+  /** Returns all problems in the order in which they were found. */
   public List<SettingsProblem> problems() {
     return problems;
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/settings/SettingsProblem.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/settings/SettingsProblem.java
@@ -4,21 +4,21 @@
 import java.util.Locale;
 
 /**
- * One thing that is wrong with a settings file.
+ * A problem of a settings file.
  *
- * @param kind what kind of fault it is
- * @param key the setting, or an empty text for the file as a whole
- * @param detail one line for people
+ * @param kind the kind of problem
+ * @param key the key of the setting, or an empty string if the problem is not about one key
+ * @param detail a description for operators, on one line
  */
 public record SettingsProblem(Kind kind, String key, String detail) {
 
-  /** What can be wrong with a settings file. */
+  /** The kinds of problems. */
   public enum Kind implements Failure {
     /** The file can't be read or is too large. */
     UNREADABLE,
     /** A line is not of the form {@code key: value}. */
     MALFORMED_LINE,
-    /** A key stands twice. */
+    /** A key is set more than once. */
     DUPLICATE_KEY,
     /** A required setting is missing. */
     MISSING,
--- a/forwarding/src/main/java/io/moorstage/forwarding/settings/SettingsText.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/settings/SettingsText.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * Reads settings from lines of the form {@code key: value}, the flat part of YAML. Problems are
- * collected, so that all are reported at once.
+ * Parses settings from lines of the form {@code key: value}, the flat subset of YAML. Empty lines
+ * and lines that begin with {@code #} are ignored. Problems are collected, so that all of them are
+ * reported at once.
  */
 final class SettingsText {
   private static final int MAX_PORT = 65_535;
@@ -38,12 +39,15 @@
   private void readLine(String line, int lineNumber) {
     int colon = line.indexOf(':');
     if (colon <= 0) {
-      add(SettingsProblem.Kind.MALFORMED_LINE, "", "line " + lineNumber + " is no key: value");
+      add(
+          SettingsProblem.Kind.MALFORMED_LINE,
+          "",
+          "line " + lineNumber + " is not of the form key: value");
       return;
     }
     String key = line.substring(0, colon).trim();
     if (values.put(key, line.substring(colon + 1).trim()) != null) {
-      add(SettingsProblem.Kind.DUPLICATE_KEY, key, "is given twice");
+      add(SettingsProblem.Kind.DUPLICATE_KEY, key, "is set more than once");
     }
   }
 
@@ -58,7 +62,7 @@
   String text(String key) {
     String value = values.get(key);
     if (value == null || value.isEmpty()) {
-      add(SettingsProblem.Kind.MISSING, key, "must be given");
+      add(SettingsProblem.Kind.MISSING, key, "required setting is missing");
       return "";
     }
     return value;
@@ -66,22 +70,24 @@
 
   int address(String key) {
     OptionalInt address = parseAddress(text(key));
-    return address.isEmpty() ? badValue(key, "is no IPv4 address", 0) : address.getAsInt();
+    return address.isEmpty() ? badValue(key, "is not an IPv4 address", 0) : address.getAsInt();
   }
 
   int port(String key) {
     OptionalInt port = parsePort(text(key));
-    return port.isEmpty() ? badValue(key, "is no port from 1 to 65535", 0) : port.getAsInt();
+    return port.isEmpty()
+        ? badValue(key, "is not a port number from 1 to 65535", 0)
+        : port.getAsInt();
   }
 
   Endpoint endpoint(String key) {
     Optional<Endpoint> endpoint = parseEndpoint(text(key));
     return endpoint.isEmpty()
-        ? badValue(key, "is no IPv4 address with a port", Endpoint.of(0, 0))
+        ? badValue(key, "is not an IPv4 address with a port", Endpoint.of(0, 0))
         : endpoint.get();
   }
 
-  /** Returns a list of endpoints separated by commas; it may be missing or empty. */
+  /** Returns a comma-separated list of endpoints; the setting may be missing or empty. */
   List<Endpoint> endpoints(String key) {
     List<Endpoint> endpoints = new ArrayList<>();
     String value = values.getOrDefault(key, "");
@@ -91,7 +97,10 @@
       }
       Optional<Endpoint> endpoint = parseEndpoint(item.trim());
       if (endpoint.isEmpty()) {
-        add(SettingsProblem.Kind.BAD_VALUE, key, "holds an item that is no address with a port");
+        add(
+            SettingsProblem.Kind.BAD_VALUE,
+            key,
+            "contains an item that is not an IPv4 address with a port");
       } else {
         endpoints.add(endpoint.get());
       }
@@ -99,9 +108,7 @@
     return endpoints;
   }
 
-  /**
-   * Returns mechanisms by their names, separated by commas; the setting may be missing or empty.
-   */
+  /** Returns a comma-separated list of mechanisms; the setting may be missing or empty. */
   Set<Mechanism> mechanisms(String key) {
     Set<Mechanism> mechanisms = new HashSet<>();
     for (String item : values.getOrDefault(key, "").split(",", -1)) {
@@ -110,7 +117,7 @@
       }
       Mechanism mechanism = Mechanism.ofCode(item.trim());
       if (mechanism == null) {
-        add(SettingsProblem.Kind.BAD_VALUE, key, "names no mechanism: " + item.trim());
+        add(SettingsProblem.Kind.BAD_VALUE, key, "unknown mechanism: " + item.trim());
       } else {
         mechanisms.add(mechanism);
       }
@@ -118,7 +125,8 @@
     return mechanisms;
   }
 
-  // With a problem noted, the placeholder is never used: the settings are refused as a whole.
+  // A missing value has been recorded before. The placeholder is never used, since settings with a
+  // problem are rejected as a whole.
   private <T> T badValue(String key, String detail, T placeholder) {
     String value = values.get(key);
     if (value != null && !value.isEmpty()) {
@@ -157,11 +165,11 @@
     return octets == OCTETS ? OptionalInt.of(address) : OptionalInt.empty();
   }
 
-  /** Returns a number within bounds, ends included; empty if the text is none. */
-  private static OptionalInt parseNumber(String text, int least, int most) {
+  /** Returns a number from min to max, inclusive, or empty if the text is not such a number. */
+  private static OptionalInt parseNumber(String text, int min, int max) {
     try {
       int number = Integer.parseInt(text);
-      return number < least || number > most ? OptionalInt.empty() : OptionalInt.of(number);
+      return number < min || number > max ? OptionalInt.empty() : OptionalInt.of(number);
     } catch (NumberFormatException e) {
       return OptionalInt.empty();
     }
--- a/forwarding/src/main/java/io/moorstage/forwarding/settings/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The settings of a daemon: read from text, checked, and immutable from then on.
+ * The settings of a daemon: parsed from text, validated, and immutable.
  *
- * <p>Owns no state. All that is wrong with a file is reported at once, as typed problems.
+ * <p>Owns no state. All problems of a settings file are reported at once, with their kinds.
  */
 package io.moorstage.forwarding.settings;
--- a/forwarding/src/test/java/io/moorstage/forwarding/settings/ForwardingSettingsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/settings/ForwardingSettingsTest.java
@@ -8,6 +8,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against settings that are read wrongly, and against invalid settings that are accepted or
+ * reported in part only.
+ */
 class ForwardingSettingsTest {
   private static final String BALANCER =
       """
@@ -25,7 +29,7 @@
       """;
 
   @Test
-  void settingsOfABalancerAreRead() throws ForwardingSettingsException {
+  void balancerSettingsAreParsed() throws ForwardingSettingsException {
     ForwardingSettings settings =
         ForwardingSettings.parse(ForwardingSettings.Program.BALANCER, BALANCER);
     assertThat(settings.nodeId()).isEqualTo("b1");
@@ -41,7 +45,7 @@
   }
 
   @Test
-  void mechanismIsSwitchedOffByItsName() throws ForwardingSettingsException {
+  void mechanismsAreSwitchedOffByName() throws ForwardingSettingsException {
     String text = BALANCER + "experiment.without: gate, two-choices\n";
     ForwardingSettings settings =
         ForwardingSettings.parse(ForwardingSettings.Program.BALANCER, text);
@@ -51,28 +55,28 @@
   }
 
   @Test
-  void unknownMechanismIsRefused() {
+  void unknownMechanismIsRejected() {
     String text = BALANCER + "experiment.without: gates\n";
-    ForwardingSettingsException refused =
+    ForwardingSettingsException rejection =
         assertThrows(
             ForwardingSettingsException.class,
             () -> ForwardingSettings.parse(ForwardingSettings.Program.BALANCER, text));
-    assertThat(refused.problems().get(0).key()).isEqualTo("experiment.without");
+    assertThat(rejection.problems().get(0).key()).isEqualTo("experiment.without");
   }
 
   @Test
-  void everythingThatIsWrongIsToldAtOnce() {
+  void allProblemsAreReportedAtOnce() {
     String text =
         BALANCER
                 .replace("node.address: 10.1.0.10", "node.address: 10.1.0.300")
                 .replace("7720", "99999")
                 .replace("node.zone: lac", "nonsense")
             + "node.id: again\n";
-    ForwardingSettingsException refused =
+    ForwardingSettingsException rejection =
         assertThrows(
             ForwardingSettingsException.class,
             () -> ForwardingSettings.parse(ForwardingSettings.Program.AGENT, text));
-    assertThat(refused.problems().stream().map(p -> p.kind() + " " + p.key()).toList())
+    assertThat(rejection.problems().stream().map(p -> p.kind() + " " + p.key()).toList())
         .containsExactly(
             "MALFORMED_LINE ",
             "DUPLICATE_KEY node.id",
@@ -85,13 +89,13 @@
   }
 
   @Test
-  void missingFileIsATypedFailure() {
-    ForwardingSettingsException refused =
+  void missingFileIsReportedAsUnreadable() {
+    ForwardingSettingsException rejection =
         assertThrows(
             ForwardingSettingsException.class,
             () ->
                 ForwardingSettings.load(
                     ForwardingSettings.Program.BALANCER, Path.of("no-such-file")));
-    assertThat(refused.failure()).isEqualTo(SettingsProblem.Kind.UNREADABLE);
+    assertThat(rejection.failure()).isEqualTo(SettingsProblem.Kind.UNREADABLE);
   }
 }
