--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentBeacons.java
@@ -3,7 +3,7 @@
 import io.moorstage.core.agent.FlowAgent;
 import io.moorstage.forwarding.net.TickTimer;
 import io.moorstage.forwarding.peer.BalancerBeacons;
-import io.moorstage.forwarding.peer.LoadReports;
+import io.moorstage.forwarding.peer.LoadReportSchedule;
 import io.moorstage.forwarding.peer.PeerDirectory;
 import io.moorstage.forwarding.peer.PeerMessage;
 import io.moorstage.forwarding.peer.PeerSender;
@@ -16,9 +16,10 @@
  * <p>Inputs: the known balancers, their zones, and which of them have forwarded a segment within 2
  * s.
  *
- * <p>The close balancers ({@link PeerDirectory#close}) get a beacon when {@link LoadReports} finds
- * one due. In addition, {@link #OTHER_BALANCERS} other balancers get one in each period, or {@link
- * #OTHER_BALANCERS_IN_DISCOVERY} while the agent starts or has no live balancer in its directory.
+ * <p>The close balancers ({@link PeerDirectory#closePeers}) get a beacon when {@link
+ * LoadReportSchedule} finds one due. In addition, {@link #OTHER_BALANCERS} other balancers get one
+ * in each period, or {@link #OTHER_BALANCERS_IN_DISCOVERY} while the agent starts or has no live
+ * balancer in its directory.
  *
  * <p>In the largest fleet an agent therefore sends 5 messages a second instead of 340 to 1,700
  * (docs/PLATFORM.md), and every balancer that uses the agent still receives its beacons.
@@ -51,7 +52,7 @@
   private final PeerDirectory balancers;
   private final AgentStateCopy copy;
   private final PeerSender sender;
-  private final LoadReports reportSchedule = new LoadReports();
+  private final LoadReportSchedule reportSchedule = new LoadReportSchedule();
   private final TickTimer othersTimer = new TickTimer();
   private volatile boolean stopping;
 
@@ -93,14 +94,14 @@
   private synchronized void sendDue(int periodMs, int otherCount, long nowMs) {
     int busyFlows = agent.busyFlows();
     PeerMessage beacon = null;
-    for (int balancer : balancers.close(nowMs)) {
-      if (reportSchedule.takeIfDue(balancer, busyFlows, periodMs, nowMs)) {
+    for (int balancer : balancers.closePeers(nowMs)) {
+      if (reportSchedule.markSentIfDue(balancer, busyFlows, periodMs, nowMs)) {
         beacon = beacon == null ? beaconNow(nowMs) : beacon;
         sender.sendBeacon(beacon, balancer);
       }
     }
     if (othersTimer.restartIfDue(periodMs, nowMs)) {
-      for (int balancer : balancers.others(otherCount, nowMs)) {
+      for (int balancer : balancers.otherPeers(otherCount, nowMs)) {
         sender.sendBeacon(beaconNow(nowMs), balancer);
       }
     }
@@ -123,7 +124,7 @@
   /** Sends a last beacon to each close balancer; it reports that the agent is stopping. */
   void sendLast(long nowMs) {
     PeerMessage beacon = beaconNow(nowMs);
-    for (int balancer : balancers.close(nowMs)) {
+    for (int balancer : balancers.closePeers(nowMs)) {
       send(beacon, balancer);
     }
   }
@@ -134,7 +135,7 @@
 
   /** Sets the shortest interval at which a balancer accepts load reports, in milliseconds. */
   synchronized void setMinReportInterval(int balancer, int intervalMs) {
-    reportSchedule.wanted(balancer, intervalMs);
+    reportSchedule.setMinInterval(balancer, intervalMs);
   }
 
   /** Evicts balancers that have not been sent a load report for long. */
@@ -151,6 +152,6 @@
         stopping,
         agent.isTargetEjected(),
         agent.hasTargetEnded(),
-        balancers.live(settings.zone(), BalancerBeacons.LISTED, nowMs));
+        balancers.livePeers(settings.zone(), BalancerBeacons.MAX_LISTED_BALANCERS, nowMs));
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessageHandler.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentMessageHandler.java
@@ -67,8 +67,8 @@
   void onMessage(int sender, PeerMessage message, long nowMs) {
     if (message instanceof PeerMessage.Forward forward) {
       onForward(sender, forward, nowMs);
-    } else if (message instanceof PeerMessage.Ask ask) {
-      onQuery(sender, ask, nowMs);
+    } else if (message instanceof PeerMessage.FlowQuery query) {
+      onQuery(sender, query, nowMs);
     } else if (message instanceof PeerMessage.BalancerBeacon beacon) {
       onBalancerBeacon(sender, beacon, nowMs);
     } else if (message instanceof PeerMessage.AgentBeacon beacon) {
@@ -82,17 +82,17 @@
       onMalformed(balancer, NO_SEGMENT, nowMs);
       return;
     }
-    collaborators.balancers.used(balancer, nowMs);
+    collaborators.balancers.recordForward(balancer, nowMs);
     agent.onForwarded(balancer, forward.terms(), segment, forward.datagram(), nowMs);
   }
 
-  private void onQuery(int balancer, PeerMessage.Ask ask, long nowMs) {
-    List<PeerMessage.FlowAnswer> results = new ArrayList<>(ask.flows().size());
-    for (FlowId flow : ask.flows()) {
+  private void onQuery(int balancer, PeerMessage.FlowQuery query, long nowMs) {
+    List<PeerMessage.FlowResult> results = new ArrayList<>(query.flows().size());
+    for (FlowId flow : query.flows()) {
       FlowQueryResult result = agent.onQuery(flow, nowMs);
-      results.add(new PeerMessage.FlowAnswer(flow, result, collaborators.ownAddress));
+      results.add(new PeerMessage.FlowResult(flow, result, collaborators.ownAddress));
     }
-    responseSender.send(new PeerMessage.Answer(results), balancer);
+    responseSender.send(new PeerMessage.FlowQueryResponse(results), balancer);
   }
 
   // The other agent has this agent among its seeds. It lists no balancers while it is still
@@ -109,7 +109,7 @@
   private void onBalancerBeacon(int balancer, PeerMessage.BalancerBeacon beacon, long nowMs) {
     fleetDiscovered |= beacon.revision() > 0;
     boolean appeared =
-        collaborators.balancers.heard(balancer, beacon.zone(), beacon.revision(), nowMs);
+        collaborators.balancers.recordBeacon(balancer, beacon.zone(), beacon.revision(), nowMs);
     collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
     TargetReport target = beacon.target();
     if (target != null && agent.onTargetReport(target, nowMs)) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessageHandler.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessageHandler.java
@@ -60,10 +60,10 @@
   void onMessage(int sender, PeerMessage message, long nowMs) {
     if (message instanceof PeerMessage.GiveBack giveBack) {
       onGiveBack(sender, giveBack, nowMs);
-    } else if (message instanceof PeerMessage.Answer answer) {
-      onQueryResponse(sender, answer, nowMs);
-    } else if (message instanceof PeerMessage.Ask ask) {
-      onQuery(sender, ask);
+    } else if (message instanceof PeerMessage.FlowQueryResponse response) {
+      onQueryResponse(sender, response, nowMs);
+    } else if (message instanceof PeerMessage.FlowQuery query) {
+      onQuery(sender, query);
     } else if (message instanceof PeerMessage.BalancerBeacon beacon) {
       onBalancerBeacon(sender, beacon, nowMs);
     } else if (message instanceof PeerMessage.AgentBeacon beacon) {
@@ -82,30 +82,30 @@
         agent, giveBack.reason(), giveBack.configurationVersion(), segment, datagram, nowMs);
   }
 
-  private void onQueryResponse(int sender, PeerMessage.Answer answer, long nowMs) {
-    for (PeerMessage.FlowAnswer result : answer.flows()) {
-      balancer.onQueryResult(
-          sender, result.flow(), result.knowledge(), result.targetAddress(), nowMs);
+  private void onQueryResponse(int sender, PeerMessage.FlowQueryResponse response, long nowMs) {
+    for (PeerMessage.FlowResult result : response.results()) {
+      balancer.onQueryResult(sender, result.flow(), result.result(), result.targetAddress(), nowMs);
     }
   }
 
   // A balancer without a known target for any of the flows sends no response: only the responses of
   // agents decide whether a flow exists.
-  private void onQuery(int sender, PeerMessage.Ask ask) {
-    List<PeerMessage.FlowAnswer> results = new ArrayList<>(0);
-    for (FlowId flow : ask.flows()) {
+  private void onQuery(int sender, PeerMessage.FlowQuery query) {
+    List<PeerMessage.FlowResult> results = new ArrayList<>(0);
+    for (FlowId flow : query.flows()) {
       int target = balancer.knownTarget(flow);
       if (target != 0) {
-        results.add(new PeerMessage.FlowAnswer(flow, FlowQueryResult.KNOWN_ELSEWHERE, target));
+        results.add(new PeerMessage.FlowResult(flow, FlowQueryResult.KNOWN_ELSEWHERE, target));
       }
     }
     if (!results.isEmpty()) {
-      responseSender.send(new PeerMessage.Answer(results), sender);
+      responseSender.send(new PeerMessage.FlowQueryResponse(results), sender);
     }
   }
 
   private void onBalancerBeacon(int peer, PeerMessage.BalancerBeacon beacon, long nowMs) {
-    boolean appeared = collaborators.balancers.heard(peer, beacon.zone(), beacon.revision(), nowMs);
+    boolean appeared =
+        collaborators.balancers.recordBeacon(peer, beacon.zone(), beacon.revision(), nowMs);
     collaborators.balancers.addAdvertised(beacon.balancers(), nowMs);
     collaborators.confirmation.onBeacon(peer, beacon, nowMs);
     collaborators.catchUp.onAdvertised(peer, beacon.zone(), beacon.revision(), nowMs);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerOutput.java
@@ -5,7 +5,7 @@
 import io.moorstage.core.message.ForwardTerms;
 import io.moorstage.core.settings.Mechanism;
 import io.moorstage.forwarding.net.MonotonicClock;
-import io.moorstage.forwarding.peer.FlowQuestions;
+import io.moorstage.forwarding.peer.FlowQueryBatcher;
 import io.moorstage.forwarding.peer.PeerDirectory;
 import io.moorstage.forwarding.peer.PeerMessage;
 import io.moorstage.forwarding.peer.PeerSender;
@@ -17,7 +17,7 @@
  * Executes a balancer's decisions. The methods are called under the balancer's lock, which also
  * guards the senders.
  */
-final class BalancerOutput implements BalancerActions, FlowQuestions.Sender {
+final class BalancerOutput implements BalancerActions, FlowQueryBatcher.Sender {
   /**
    * The maximum number of balancers that are queried about a flow that none of the queried agents
    * has reported. The queries reach the balancers of the own zone and some of other zones, and
@@ -31,7 +31,7 @@
   private final PeerDirectory balancers;
   private final StateKeeper keeper;
   private final PeerCatchUp catchUp;
-  private final FlowQuestions queryBatcher;
+  private final FlowQueryBatcher queryBatcher;
 
   BalancerOutput(
       ForwardingSettings settings,
@@ -47,7 +47,7 @@
     this.keeper = keeper;
     this.catchUp = catchUp;
     boolean batchesQueries = settings.policy().uses(Mechanism.GATHERED_QUESTIONS);
-    this.queryBatcher = new FlowQuestions(batchesQueries ? MainLoop.TICK_MS : 0, this);
+    this.queryBatcher = new FlowQueryBatcher(batchesQueries ? MainLoop.TICK_MS : 0, this);
   }
 
   @Override
@@ -56,13 +56,13 @@
   }
 
   @Override
-  public void send(PeerMessage.Ask ask, int address) {
-    peers.send(ask, address);
+  public void send(PeerMessage.FlowQuery query, int address) {
+    peers.send(query, address);
   }
 
   @Override
   public void query(int peerAddress, FlowId flow) {
-    queryBatcher.ask(peerAddress, flow, MonotonicClock.nowMs());
+    queryBatcher.query(peerAddress, flow, MonotonicClock.nowMs());
   }
 
   @Override
@@ -73,7 +73,7 @@
   @Override
   public void queryBalancers(FlowId flow) {
     long nowMs = MonotonicClock.nowMs();
-    for (int peer : balancers.live(zone, MAX_QUERIED_BALANCERS, nowMs)) {
+    for (int peer : balancers.livePeers(zone, MAX_QUERIED_BALANCERS, nowMs)) {
       query(peer, flow);
     }
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerReadiness.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerReadiness.java
@@ -29,7 +29,7 @@
  */
 final class BalancerReadiness implements HttpEndpoint.Content {
   /** The time without a beacon after which an agent or a balancer times out, in milliseconds. */
-  static final int ISOLATION_TIMEOUT_MS = BalancerBeacons.SILENT_AFTER_MS;
+  static final int ISOLATION_TIMEOUT_MS = BalancerBeacons.BEACON_TIMEOUT_MS;
 
   /**
    * How long a balancer counts as an expected member after its last beacon, in milliseconds. A
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
@@ -58,7 +58,7 @@
    * #confirms} holds for the two revisions.
    */
   void onBeacon(int peer, PeerMessage.BalancerBeacon beacon, long nowMs) {
-    int ageMs = beacon.confirmedAgeMs();
+    int ageMs = beacon.confirmationAgeMs();
     readers.heard(peer, beacon.zone(), ageMs, nowMs);
     if (beacon.isConfirmed() && confirms(beacon.revision(), keeper.state().revision())) {
       onConfirmed(nowMs - ageMs);
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/BalancerBeacons.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/BalancerBeacons.java
@@ -9,157 +9,170 @@
 import java.util.function.LongToIntFunction;
 
 /**
- * A balancer's beacons: which revision it knows, what the source says of an agent's target, and
- * which balancers it hears. Thread-safe. Whom do they go to?
+ * Sends a balancer's beacons and selects their recipients. A beacon carries the revision of the
+ * balancer's state, what the source lists for the recipient's target, and addresses of live
+ * balancers. Thread-safe.
  *
- * <p>Inputs: the agents and balancers that are known, and their zones. Rule: regular ones to the
- * agents of the own zone, at most {@link #MAX_AGENTS_OF_ZONE} a round and then the next ones, to
- * the close balancers ({@link PeerDirectory#close}), and to {@link #OTHERS} agents and balancers
- * elsewhere; a change at once to the agents of the own zone that it concerns and to the balancers
- * that are known to lack it. In a fleet of at most {@link #FEW_AGENTS} agents all count as of the
- * own zone. So an agent hears of its target from each balancer of its zone, and from some elsewhere
- * should there be none.
+ * <p>Inputs: the known agents and balancers, and their zones. Rule: a regular beacon goes to agents
+ * of the own zone, at most {@link #MAX_OWN_ZONE_AGENTS} at a time in round-robin order, to the
+ * close balancers ({@link PeerDirectory#closePeers}), and to {@link #REMOTE_RECIPIENTS} other
+ * agents and as many other balancers. A change of the state goes at once to the agents of the own
+ * zone that it concerns and to balancers whose last beacon showed an older state. In a fleet of at
+ * most {@link #FULL_MESH_MAX_AGENTS} agents, all of them count as agents of the own zone. So an
+ * agent receives the record of its target from each balancer of its zone, and from some balancers
+ * of other zones in case its own zone has none.
  *
- * <p>Reason: in a full mesh the control traffic was most of the bytes between zones; with few
- * receivers these fell from 0.206 to 0.043 GB a day (docs/MEASURED-POLICY.md), and at the largest
- * size a balancer sends 155 messages a second instead of 13,198 (docs/PLATFORM.md).
+ * <p>Reason: in a full mesh, control traffic was most of the bytes between zones. With few
+ * recipients these bytes fell from 0.206 to 0.043 GB a day (docs/MEASURED-POLICY.md), and at the
+ * largest size a balancer sends 155 messages a second instead of 13,198 (docs/PLATFORM.md).
  */
 public final class BalancerBeacons {
   /**
-   * Time between regular beacons of balancers and agents, in milliseconds. The messages a second
-   * that follow from it are worked out in docs/PLATFORM.md.
+   * The period of regular beacons of balancers and agents, in milliseconds. docs/PLATFORM.md
+   * derives the messages a second from it.
    */
   public static final int PERIOD_MS = 500;
 
   /**
-   * How late a beacon may come, in milliseconds. Not measured; chosen so that a node that works off
-   * a queue of requests does not count as silent.
+   * The delay of a beacon that does not count as a loss, in milliseconds. It allows for a node that
+   * is busy with a queue of requests.
    */
-  public static final int LATE_MS = 300;
+  public static final int DELAY_TOLERANCE_MS = 300;
 
   /**
-   * Time without a beacon after which a balancer, or all agents together, count as silent, in
-   * milliseconds: the last two are lost. A single agent is given one more ({@code agentTimeoutMs}
-   * of the policy), since its silence decides about open flows.
+   * The time without a beacon after which a balancer, or all agents together, count as unavailable,
+   * in milliseconds: two beacons in a row are lost. A single agent times out one period later
+   * ({@code agentTimeoutMs} of the policy), since that decides about open flows.
    */
-  public static final int SILENT_AFTER_MS = 2 * PERIOD_MS + LATE_MS;
+  public static final int BEACON_TIMEOUT_MS = 2 * PERIOD_MS + DELAY_TOLERANCE_MS;
 
   /**
-   * Agents of a small fleet get every beacon. Not measured; chosen so that the smallest deployments
+   * The largest number of agents that all get each regular beacon, so that the smallest deployments
    * are a full mesh.
    */
-  static final int FEW_AGENTS = 16;
+  static final int FULL_MESH_MAX_AGENTS = 16;
 
   /**
-   * Bounds the agents of the own zone that get one beacon; the next one goes on with the others.
-   * Not measured; chosen so that a beacon's round costs at most 128 datagrams a second.
+   * The largest number of agents of the own zone that get a regular beacon at a time; the next
+   * beacon goes to the agents that follow. It limits these beacons to 128 datagrams a second.
    */
-  static final int MAX_AGENTS_OF_ZONE = 64;
+  static final int MAX_OWN_ZONE_AGENTS = 64;
 
   /**
-   * Agents of other zones, and balancers of other zones, that get one beacon. Not measured; chosen
-   * so that the loss of one or two of them leaves some.
+   * The number of agents of other zones, and of other balancers, that get a regular beacon. With
+   * four, some still get it if one or two of them are lost.
    */
-  static final int OTHERS = 4;
+  static final int REMOTE_RECIPIENTS = 4;
 
   /**
-   * Addresses of balancers that a beacon of a balancer or an agent names. Not measured; chosen so
-   * that a node that has just started finds its zone, which has six at the target size.
+   * The largest number of balancer addresses in a beacon of a balancer or an agent. A node that has
+   * just started can learn its whole zone from it, which has six balancers at the target size.
    */
-  public static final int LISTED = 8;
+  public static final int MAX_LISTED_BALANCERS = 8;
 
-  /** Reports that a balancer takes in a second: 100 of some 65 bytes keep below 9 KB a second. */
-  private static final int REPORTS_PER_S = 100;
+  /**
+   * The load reports that a balancer requests a second, from all agents together: 100 reports of
+   * some 65 bytes are less than 9 KB a second.
+   */
+  private static final int MAX_REPORTS_PER_S = 100;
 
   private static final int MS_PER_S = 1_000;
 
   private final String zone;
   private final PeerDirectory balancers;
   private final PeerSender sender;
-  private final LongToIntFunction confirmedAgeMs;
-  private final LongToIntFunction heardAgents;
+  private final LongToIntFunction confirmationAgeMs;
+  private final LongToIntFunction activeAgentCount;
   private ListedAgents agents = ListedAgents.NONE;
-  private int nextOfZone;
-  private int nextElsewhere;
+  private int nextOwnZoneAgent;
+  private int nextRemoteAgent;
 
   /**
-   * Creates beacons.
+   * Creates an instance that has sent no beacon yet.
    *
-   * @param sender sends them; no one else uses it
-   * @param confirmedAgeMs from the time of a beacon, how long ago the source confirmed the state;
-   *     negative if this node does not read it
-   * @param heardAgents from the time of a beacon, how many agents send beacons to this node
+   * @param sender sends the beacons; must not be shared
+   * @param confirmationAgeMs maps the time of a beacon to the age of the source's last confirmation
+   *     of the state, in milliseconds; negative if this node does not read the source
+   * @param activeAgentCount maps the time of a beacon to the number of agents that send beacons to
+   *     this node
    */
   public BalancerBeacons(
       String zone,
       PeerDirectory balancers,
       PeerSender sender,
-      LongToIntFunction confirmedAgeMs,
-      LongToIntFunction heardAgents) {
+      LongToIntFunction confirmationAgeMs,
+      LongToIntFunction activeAgentCount) {
     this.zone = zone;
     this.balancers = balancers;
     this.sender = sender;
-    this.confirmedAgeMs = confirmedAgeMs;
-    this.heardAgents = heardAgents;
+    this.confirmationAgeMs = confirmationAgeMs;
+    this.activeAgentCount = activeAgentCount;
   }
 
-  /** Sends a beacon to agents and balancers, most of them of the own zone. */
+  /** Sends a regular beacon to agents and balancers, most of them of the own zone. */
   public synchronized void sendRegular(FleetState state, long nowMs) {
-    agents = agents.of(state);
+    agents = agents.forState(state);
     int reportIntervalMs = reportIntervalMs(nowMs);
-    for (int agent : agentsInTurn()) {
+    for (int agent : selectAgents()) {
       send(agent, state, reportIntervalMs, nowMs);
     }
-    for (int peer : balancers.close(nowMs)) {
+    for (int peer : balancers.closePeers(nowMs)) {
       if (agents.targetAt(peer) == null) {
         send(peer, state, reportIntervalMs, nowMs);
       }
     }
-    for (int peer : balancers.others(OTHERS, nowMs)) {
+    for (int peer : balancers.otherPeers(REMOTE_RECIPIENTS, nowMs)) {
       send(peer, state, reportIntervalMs, nowMs);
     }
   }
 
-  private List<Integer> agentsInTurn() {
-    List<Integer> ofZone = new ArrayList<>();
-    List<Integer> elsewhere = new ArrayList<>();
-    boolean few = agents.count() <= FEW_AGENTS;
+  private List<Integer> selectAgents() {
+    List<Integer> ownZoneAgents = new ArrayList<>();
+    List<Integer> remoteAgents = new ArrayList<>();
+    boolean isFullMesh = agents.count() <= FULL_MESH_MAX_AGENTS;
     for (TargetRecord target : agents.targets()) {
-      boolean isClose = few || target.zone().equals(zone);
-      (isClose ? ofZone : elsewhere).add(target.address());
+      boolean isNear = isFullMesh || target.zone().equals(zone);
+      (isNear ? ownZoneAgents : remoteAgents).add(target.address());
     }
-    List<Integer> chosen = new ArrayList<>();
-    nextOfZone = takeInTurn(ofZone, nextOfZone, MAX_AGENTS_OF_ZONE, chosen);
-    nextElsewhere = takeInTurn(elsewhere, nextElsewhere, OTHERS, chosen);
-    return chosen;
+    List<Integer> selected = new ArrayList<>();
+    nextOwnZoneAgent =
+        selectRoundRobin(ownZoneAgents, nextOwnZoneAgent, MAX_OWN_ZONE_AGENTS, selected);
+    nextRemoteAgent = selectRoundRobin(remoteAgents, nextRemoteAgent, REMOTE_RECIPIENTS, selected);
+    return selected;
   }
 
-  /** Takes some elements from an index on, over the end if need be; returns the next index. */
-  private static int takeInTurn(List<Integer> from, int index, int count, List<Integer> chosen) {
-    int taken = Math.min(count, from.size());
-    for (int i = 0; i < taken; i++) {
-      chosen.add(from.get((index + i) % from.size()));
+  /**
+   * Adds elements to the selection, starting at an index and wrapping around at the end; returns
+   * the index to start at the next time.
+   */
+  private static int selectRoundRobin(
+      List<Integer> from, int index, int maxCount, List<Integer> selected) {
+    int selectedCount = Math.min(maxCount, from.size());
+    for (int i = 0; i < selectedCount; i++) {
+      selected.add(from.get((index + i) % from.size()));
     }
-    return taken == 0 ? 0 : (index + taken) % from.size();
+    return selectedCount == 0 ? 0 : (index + selectedCount) % from.size();
   }
 
   /**
-   * Reports what has changed: to agents of the own zone what the source says of their targets and
-   * of the zone, and to balancers that there is a newer state. A balancer that the source refuses
-   * thus learns of a configuration before agents, which go by the newest they have seen, give back
-   * what it forwards.
+   * Announces a newer state: sends agents of the own zone the changed records of their targets and
+   * zone, and sends balancers with an older state the new revision. So a balancer that the source
+   * refuses gets a new configuration before agents return the segments that it forwards; agents
+   * compare a segment with the newest configuration that they have seen.
+   *
+   * @param changed the targets whose agents are to be notified
    */
   public synchronized void sendChanges(
       FleetState state, Collection<TargetRecord> changed, long nowMs) {
     int reportIntervalMs = reportIntervalMs(nowMs);
-    agents = agents.of(state);
-    boolean few = agents.count() <= FEW_AGENTS;
+    agents = agents.forState(state);
+    boolean isFullMesh = agents.count() <= FULL_MESH_MAX_AGENTS;
     for (TargetRecord target : changed) {
-      if (few || target.zone().equals(zone)) {
+      if (isFullMesh || target.zone().equals(zone)) {
         send(target.address(), state, reportIntervalMs, nowMs);
       }
     }
-    for (int peer : balancers.behind(state.revision(), nowMs)) {
+    for (int peer : balancers.peersBehind(state.revision(), nowMs)) {
       send(peer, state, reportIntervalMs, nowMs);
     }
   }
@@ -169,35 +182,36 @@
     send(peer, state, reportIntervalMs(nowMs), nowMs);
   }
 
-  // Each of the agents sends a report at most once in this time.
+  // Each agent reports at most once within this interval, so that all agents together send at most
+  // MAX_REPORTS_PER_S.
   private int reportIntervalMs(long nowMs) {
-    return heardAgents.applyAsInt(nowMs) * MS_PER_S / REPORTS_PER_S;
+    return activeAgentCount.applyAsInt(nowMs) * MS_PER_S / MAX_REPORTS_PER_S;
   }
 
   private void send(int address, FleetState state, int reportIntervalMs, long nowMs) {
-    agents = agents.of(state);
+    agents = agents.forState(state);
     TargetRecord target = agents.targetAt(address);
-    String receiversZone = target == null ? zone : target.zone();
+    String recipientZone = target == null ? zone : target.zone();
     sender.sendBeacon(
         new PeerMessage.BalancerBeacon(
             state.revision(),
             zone,
-            target == null ? null : newsOf(target, state),
+            target == null ? null : targetReport(target, state),
             agents.keepsCopy(address),
             reportIntervalMs,
-            confirmedAgeMs.applyAsInt(nowMs),
-            balancers.live(receiversZone, LISTED, nowMs)),
+            confirmationAgeMs.applyAsInt(nowMs),
+            balancers.livePeers(recipientZone, MAX_LISTED_BALANCERS, nowMs)),
         address);
   }
 
-  private TargetReport newsOf(TargetRecord target, FleetState state) {
+  private TargetReport targetReport(TargetRecord target, FleetState state) {
     return new TargetReport(
         state.revision(),
         target.phase(),
         state.evacuations().isInForce(target.zone()),
         target.capacity(),
         target.startNumber(),
-        agents.tookOver(target.address()),
+        agents.isPredecessorListedReady(target.address()),
         target.slowStartMs(),
         state.configuration().coldStartOf(target.service()).durationMs());
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/ListedAgents.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/ListedAgents.java
@@ -14,14 +14,19 @@
 import javax.annotation.Nullable;
 
 /**
- * The agents beside the targets of one state, and which of them keep a copy of it. Immutable.
+ * The agents of the targets that a state lists, and the subset of them that keeps a copy of the
+ * state. Immutable.
  *
- * <p>Copies are for balancers that start while the source is away. A few agents of each zone keep
- * one, chosen by a hash, so that all balancers choose the same: a copy at each agent would cost the
- * balancers a transfer of the whole state for each agent and each change.
+ * <p>Balancers that start while the source is unavailable read the state from such a copy. A few
+ * agents of each zone keep one, ranked by a hash of their address, so that all balancers select the
+ * same agents. A copy at each agent would cost the balancers a transfer of the whole state for each
+ * agent and each change.
  */
 final class ListedAgents {
-  /** So many copies a zone survive the loss of some machines; other zones have theirs. */
+  /**
+   * The number of copies in each zone. With four, a zone keeps a copy after the loss of some
+   * machines, and other zones have copies of their own.
+   */
   static final int COPIES_PER_ZONE = 4;
 
   /** No agents. */
@@ -29,8 +34,8 @@
 
   private final FleetState state;
   private final Map<Integer, TargetRecord> targetsByAddress;
-  private final Set<Integer> copyKeepers = new HashSet<>();
-  private final Set<Integer> takenOver = new HashSet<>();
+  private final Set<Integer> copyHolders = new HashSet<>();
+  private final Set<Integer> withReadyPredecessor = new HashSet<>();
 
   private ListedAgents(FleetState state) {
     this.state = state;
@@ -38,13 +43,13 @@
     for (TargetRecord target : state.targets()) {
       TargetRecord newest = targetsByAddress.get(target.address());
       if (target.phase() == TargetPhase.READY && newest.supersedes(target)) {
-        takenOver.add(target.address());
+        withReadyPredecessor.add(target.address());
       }
     }
-    chooseCopyKeepers();
+    selectCopyHolders();
   }
 
-  private void chooseCopyKeepers() {
+  private void selectCopyHolders() {
     Map<String, TreeMap<Long, Integer>> rankedByZone = new HashMap<>();
     for (TargetRecord target : targetsByAddress.values()) {
       if (target.phase() != TargetPhase.GONE) {
@@ -53,18 +58,18 @@
             .put(FlowId.mix(target.address()), target.address());
       }
     }
-    for (TreeMap<Long, Integer> ranked : rankedByZone.values()) {
-      List<Integer> inOrder = new ArrayList<>(ranked.values());
-      copyKeepers.addAll(inOrder.subList(0, Math.min(COPIES_PER_ZONE, inOrder.size())));
+    for (TreeMap<Long, Integer> addresses : rankedByZone.values()) {
+      List<Integer> ranked = new ArrayList<>(addresses.values());
+      copyHolders.addAll(ranked.subList(0, Math.min(COPIES_PER_ZONE, ranked.size())));
     }
   }
 
-  /** Returns the agents of a state; these, if it is the same one. */
-  ListedAgents of(FleetState other) {
+  /** Returns the agents of a state; returns this instance if it is for the same state. */
+  ListedAgents forState(FleetState other) {
     return other == state ? this : new ListedAgents(other);
   }
 
-  /** Returns the targets beside the agents. */
+  /** Returns the target of each agent: the newest one that is listed at its address. */
   Iterable<TargetRecord> targets() {
     return targetsByAddress.values();
   }
@@ -80,15 +85,15 @@
   }
 
   /**
-   * Returns whether the source still lists as ready the target that the one at an address has
-   * followed: that one died without leaving.
+   * Returns whether the source still lists as ready an earlier target at the address of the newest
+   * one, which shows that the earlier one died without draining.
    */
-  boolean tookOver(int address) {
-    return takenOver.contains(address);
+  boolean isPredecessorListedReady(int address) {
+    return withReadyPredecessor.contains(address);
   }
 
   /** Returns whether the agent at an address keeps a copy of the state. */
   boolean keepsCopy(int address) {
-    return copyKeepers.contains(address);
+    return copyHolders.contains(address);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerDirectory.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerDirectory.java
@@ -9,43 +9,55 @@
 import javax.annotation.Nullable;
 
 /**
- * The balancers that a node knows: named in the settings or by others, or heard from directly.
- * Those that stay silent are forgotten. Thread-safe.
+ * The directory of the balancers that a node knows, from its settings, from the beacons of other
+ * nodes, or from their own beacons and forwarded segments. Evicts balancers that send no beacons.
+ * Thread-safe.
  *
- * <p>In a small fleet a node sends its beacons to all of them. In a larger one it sends them to its
- * close balancers, which are those of its zone and those that use it, and to a few random others,
- * so that what a node sends and receives does not grow with the fleet.
+ * <p>In a small fleet, all balancers are close. In a larger one, the close balancers are those of
+ * the own zone and those that forward segments to this node. A node sends its regular beacons to
+ * its close balancers and to a few random others, so that the number of messages that it sends and
+ * receives does not grow with the fleet.
  */
 public final class PeerDirectory {
-  /** Up to so many balancers are all close: a full mesh of them costs 112 datagrams a second. */
-  static final int FEW = 8;
+  /**
+   * The largest number of known balancers that are all close. A full mesh of eight balancers costs
+   * 112 datagrams a second.
+   */
+  static final int FULL_MESH_MAX_BALANCERS = 8;
 
-  /** Bounds the close balancers of a zone; at the target size a zone has six. */
-  static final int MAX_OF_ZONE = 16;
+  /**
+   * The largest number of close balancers of the own zone, and of those that forward segments to
+   * this node. At the target size, a zone has six balancers.
+   */
+  static final int MAX_CLOSE_PER_GROUP = 16;
 
   /**
-   * For how long a balancer that was heard from is remembered, in milliseconds. Not measured;
-   * chosen so that the loss of a zone's network for a minute does not make its balancers unknown.
+   * How long a balancer is kept after its last beacon, in milliseconds, so that a zone that loses
+   * its network for a minute does not lose its entries.
    */
-  static final long FORGET_HEARD_MS = 90_000;
+  static final long SEEN_TTL_MS = 90_000;
 
   /**
-   * For how long a balancer that was only named is remembered, in milliseconds. Not measured;
-   * chosen so that nodes that name each other a machine that is gone forget it.
+   * How long a balancer that has never sent a beacon is kept, in milliseconds. The entry of a
+   * machine that is gone has to expire even if nodes still advertise it to each other.
    */
-  private static final long FORGET_NAMED_MS = 20_000;
+  private static final long UNSEEN_TTL_MS = 20_000;
 
   /**
-   * For how long a balancer counts as live after a beacon, in milliseconds. Not measured; chosen as
-   * six periods, since balancers of other zones get beacons in turn only.
+   * How long a balancer counts as live after a beacon, in milliseconds. It is six periods, since
+   * balancers send only some of their beacons to each balancer of another zone.
    */
-  private static final long LIVE_MS = 6L * BalancerBeacons.PERIOD_MS;
+  private static final long LIVE_WINDOW_MS = 6L * BalancerBeacons.PERIOD_MS;
 
-  /** A client repeats a lost segment within 1.6 s; a flow in use has one more often. */
-  private static final long USED_MS = 2_000;
+  /**
+   * How long a balancer counts as one that forwards segments to this node, in milliseconds after
+   * the last one. A client retransmits a lost segment within 1.6 s, and segments of an active flow
+   * follow each other sooner.
+   */
+  private static final long SENDER_WINDOW_MS = 2_000;
 
-  /** Random balancers of other zones that hear at once of a newer state. */
-  private static final int OTHERS_REPORTED_TO_AT_ONCE = 2;
+  /** The largest number of random balancers of other zones that are notified of a newer state. */
+  private static final int MAX_OTHERS_NOTIFIED = 2;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -53,25 +65,25 @@
   private final String ownZone;
   private final Map<Integer, Peer> peers = new HashMap<>();
 
-  /** What is known of one balancer. */
+  /** A balancer that this node knows. */
   private static final class Peer {
     private final int address;
 
-    /** The zone, or null as long as the balancer has not been heard from. */
+    /** The zone, or null before the first beacon. */
     @Nullable private String zone;
 
     private long revision;
-    private long heardAtMs = NEVER;
-    private long usedAtMs = NEVER;
-    private long forgetAtMs;
+    private long lastBeaconMs = NEVER;
+    private long lastForwardMs = NEVER;
+    private long expiresAtMs;
 
-    private Peer(int address, long forgetAtMs) {
+    private Peer(int address, long expiresAtMs) {
       this.address = address;
-      this.forgetAtMs = forgetAtMs;
+      this.expiresAtMs = expiresAtMs;
     }
 
     private boolean isLive(long nowMs) {
-      return nowMs - heardAtMs <= LIVE_MS;
+      return nowMs - lastBeaconMs <= LIVE_WINDOW_MS;
     }
   }
 
@@ -80,21 +92,21 @@
     this.ownZone = ownZone;
   }
 
-  /** The settings or another node have named a balancer. */
+  /** Adds a balancer unless it is known or this node itself. */
   public synchronized void add(int address, long nowMs) {
     if (address != ownAddress && !peers.containsKey(address)) {
-      peers.put(address, new Peer(address, nowMs + FORGET_NAMED_MS));
+      peers.put(address, new Peer(address, nowMs + UNSEEN_TTL_MS));
     }
   }
 
-  /** The settings have named balancers; of seeds, only the addresses count. */
+  /** Adds the balancers that the settings name as seeds; their ports are ignored. */
   public void addSeeds(List<Endpoint> seeds, long nowMs) {
     for (Endpoint seed : seeds) {
       add(seed.ipv4(), nowMs);
     }
   }
 
-  /** Another node has named balancers in a beacon. */
+  /** Adds the balancers that another node has listed in a beacon. */
   public void addAdvertised(int[] addresses, long nowMs) {
     for (int address : addresses) {
       add(address, nowMs);
@@ -102,13 +114,13 @@
   }
 
   /**
-   * A balancer has been heard from.
+   * Records a beacon of a balancer.
    *
    * @param zone the balancer's zone
-   * @param revision the source's revision that the balancer has
-   * @return whether it was silent or unknown before
+   * @param revision the revision of the balancer's state
+   * @return whether the balancer was unknown or not live before
    */
-  public synchronized boolean heard(int address, String zone, long revision, long nowMs) {
+  public synchronized boolean recordBeacon(int address, String zone, long revision, long nowMs) {
     if (address == ownAddress) {
       return false;
     }
@@ -117,67 +129,73 @@
     boolean appeared = !peer.isLive(nowMs);
     peer.zone = zone;
     peer.revision = revision;
-    peer.heardAtMs = nowMs;
-    peer.forgetAtMs = nowMs + FORGET_HEARD_MS;
+    peer.lastBeaconMs = nowMs;
+    peer.expiresAtMs = nowMs + SEEN_TTL_MS;
     return appeared;
   }
 
-  /** A balancer has forwarded a segment to this node. */
-  public synchronized void used(int address, long nowMs) {
+  /** Records that a balancer has forwarded a segment to this node. */
+  public synchronized void recordForward(int address, long nowMs) {
     add(address, nowMs);
     Peer peer = peers.get(address);
     if (peer != null) {
-      peer.usedAtMs = nowMs;
+      peer.lastForwardMs = nowMs;
     }
   }
 
-  /** Returns the close balancers. */
-  public synchronized int[] close(long nowMs) {
-    forgetSilent(nowMs);
-    List<Peer> ofZone = new ArrayList<>();
-    List<Peer> using = new ArrayList<>();
+  /** Returns the addresses of the close balancers. */
+  public synchronized int[] closePeers(long nowMs) {
+    evictExpired(nowMs);
+    List<Peer> nearby = new ArrayList<>();
+    List<Peer> senders = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      if (isOfZone(peer) || peers.size() <= FEW) {
-        ofZone.add(peer);
-      } else if (nowMs - peer.usedAtMs <= USED_MS) {
-        using.add(peer);
+      if (isInOwnZone(peer) || peers.size() <= FULL_MESH_MAX_BALANCERS) {
+        nearby.add(peer);
+      } else if (nowMs - peer.lastForwardMs <= SENDER_WINDOW_MS) {
+        senders.add(peer);
       }
     }
-    List<Peer> close = random(ofZone, MAX_OF_ZONE);
-    close.addAll(random(using, MAX_OF_ZONE));
-    return addresses(close);
+    List<Peer> close = randomSample(nearby, MAX_CLOSE_PER_GROUP);
+    close.addAll(randomSample(senders, MAX_CLOSE_PER_GROUP));
+    return addressesOf(close);
   }
 
-  /** Returns some balancers that are not close, half of them such as were never heard from. */
-  public synchronized int[] others(int count, long nowMs) {
-    List<Peer> unheard = new ArrayList<>();
-    List<Peer> heard = new ArrayList<>();
+  /**
+   * Returns the addresses of random balancers that are not close, up to half of them balancers that
+   * have not sent a beacon yet.
+   */
+  public synchronized int[] otherPeers(int count, long nowMs) {
+    List<Peer> unseen = new ArrayList<>();
+    List<Peer> seen = new ArrayList<>();
     for (Peer peer : peers.values()) {
-      boolean isClose = isOfZone(peer) || peers.size() <= FEW || nowMs - peer.usedAtMs <= USED_MS;
+      boolean isClose =
+          isInOwnZone(peer)
+              || peers.size() <= FULL_MESH_MAX_BALANCERS
+              || nowMs - peer.lastForwardMs <= SENDER_WINDOW_MS;
       if (!isClose) {
-        (peer.zone == null ? unheard : heard).add(peer);
+        (peer.zone == null ? unseen : seen).add(peer);
       }
     }
-    List<Peer> chosen = random(unheard, (count + 1) / 2);
-    chosen.addAll(random(heard, count - chosen.size()));
-    return addresses(chosen);
+    List<Peer> chosen = randomSample(unseen, (count + 1) / 2);
+    chosen.addAll(randomSample(seen, count - chosen.size()));
+    return addressesOf(chosen);
   }
 
-  /** Returns balancers that have been heard from of late, those of a zone first. */
-  public synchronized int[] live(String zone, int count, long nowMs) {
-    List<Peer> ofZone = new ArrayList<>();
+  /** Returns the addresses of random live balancers, those of a zone first. */
+  public synchronized int[] livePeers(String zone, int count, long nowMs) {
+    List<Peer> sameZone = new ArrayList<>();
     List<Peer> elsewhere = new ArrayList<>();
     for (Peer peer : peers.values()) {
       if (peer.isLive(nowMs)) {
-        (zone.equals(peer.zone) ? ofZone : elsewhere).add(peer);
+        (zone.equals(peer.zone) ? sameZone : elsewhere).add(peer);
       }
     }
-    List<Peer> chosen = random(ofZone, count);
-    chosen.addAll(random(elsewhere, count - chosen.size()));
-    return addresses(chosen);
+    List<Peer> chosen = randomSample(sameZone, count);
+    chosen.addAll(randomSample(elsewhere, count - chosen.size()));
+    return addressesOf(chosen);
   }
 
-  /** Returns how many balancers have been heard from of late. */
+  /** Returns the number of live balancers. */
   public synchronized int liveCount(long nowMs) {
     int count = 0;
     for (Peer peer : peers.values()) {
@@ -188,30 +206,37 @@
     return count;
   }
 
-  /** Returns the close balancers that lack a revision, and a few random others that do. */
-  synchronized int[] behind(long revision, long nowMs) {
+  /**
+   * Returns the addresses of live balancers whose last beacon had a lower revision: close ones, and
+   * a few random others.
+   */
+  synchronized int[] peersBehind(long revision, long nowMs) {
     List<Peer> close = new ArrayList<>();
     List<Peer> elsewhere = new ArrayList<>();
     for (Peer peer : peers.values()) {
       if (peer.isLive(nowMs) && peer.revision < revision) {
-        (isOfZone(peer) || peers.size() <= FEW ? close : elsewhere).add(peer);
+        (isInOwnZone(peer) || peers.size() <= FULL_MESH_MAX_BALANCERS ? close : elsewhere)
+            .add(peer);
       }
     }
-    List<Peer> chosen = random(close, MAX_OF_ZONE);
-    chosen.addAll(random(elsewhere, OTHERS_REPORTED_TO_AT_ONCE));
-    return addresses(chosen);
+    List<Peer> chosen = randomSample(close, MAX_CLOSE_PER_GROUP);
+    chosen.addAll(randomSample(elsewhere, MAX_OTHERS_NOTIFIED));
+    return addressesOf(chosen);
   }
 
-  /** Returns the live balancer of the highest revision above a given one, or 0 if there is none. */
+  /**
+   * Returns the address of the live balancer with the highest revision above a given one, or 0 if
+   * there is none. A balancer of the own zone takes precedence over any other.
+   */
   public synchronized int mostAdvanced(long aboveRevision, long nowMs) {
     Peer best = null;
     for (Peer peer : peers.values()) {
       if (!peer.isLive(nowMs) || peer.revision <= aboveRevision) {
         continue;
       }
-      boolean nearer = best != null && isOfZone(peer) && !isOfZone(best);
-      boolean farther = best != null && !isOfZone(peer) && isOfZone(best);
-      if (best == null || nearer || !farther && peer.revision > best.revision) {
+      boolean isNearer = best != null && isInOwnZone(peer) && !isInOwnZone(best);
+      boolean isFarther = best != null && !isInOwnZone(peer) && isInOwnZone(best);
+      if (best == null || isNearer || !isFarther && peer.revision > best.revision) {
         best = peer;
       }
     }
@@ -219,42 +244,49 @@
   }
 
   /**
-   * Returns whether most balancers that usually send beacons have fallen silent.
+   * Returns whether this node no longer receives beacons from most balancers of its zone or, if it
+   * knows none there, from any balancer. In a small fleet, all balancers count as of its zone.
    *
-   * @param silenceMs after how long without a beacon one counts as silent
-   * @param memoryMs for how long one counts as usual
+   * @param timeoutMs the time without a beacon after which a balancer counts as lost, in
+   *     milliseconds
+   * @param membershipMs the time without a beacon after which a balancer is no longer counted at
+   *     all, in milliseconds
    */
-  public synchronized boolean hasLostMost(long silenceMs, long memoryMs, long nowMs) {
+  public synchronized boolean hasLostMost(long timeoutMs, long membershipMs, long nowMs) {
     int closeKnown = 0;
-    int closeHeard = 0;
+    int closeLive = 0;
     int otherKnown = 0;
-    int otherHeard = 0;
+    int otherLive = 0;
     for (Peer peer : peers.values()) {
-      long ageMs = nowMs - peer.heardAtMs;
-      if (ageMs > memoryMs) {
+      long ageMs = nowMs - peer.lastBeaconMs;
+      if (ageMs > membershipMs) {
         continue;
       }
-      boolean isClose = isOfZone(peer) || peers.size() <= FEW;
-      int heard = ageMs <= silenceMs ? 1 : 0;
+      boolean isClose = isInOwnZone(peer) || peers.size() <= FULL_MESH_MAX_BALANCERS;
+      int live = ageMs <= timeoutMs ? 1 : 0;
       closeKnown += isClose ? 1 : 0;
-      closeHeard += isClose ? heard : 0;
+      closeLive += isClose ? live : 0;
       otherKnown += isClose ? 0 : 1;
-      otherHeard += isClose ? 0 : heard;
+      otherLive += isClose ? 0 : live;
     }
-    // Those of other zones send a beacon now and then: only the silence of all shows anything.
-    return closeKnown > 0 ? closeHeard * 2 < closeKnown : otherKnown > 0 && otherHeard == 0;
+    // A balancer of another zone sends beacons to this node only now and then, so the lack of a
+    // recent one is a sign of a failure only if it concerns all of them.
+    return closeKnown > 0 ? closeLive * 2 < closeKnown : otherKnown > 0 && otherLive == 0;
   }
 
-  private boolean isOfZone(Peer peer) {
+  private boolean isInOwnZone(Peer peer) {
     return ownZone.equals(peer.zone);
   }
 
-  private void forgetSilent(long nowMs) {
-    peers.values().removeIf(peer -> peer.forgetAtMs < nowMs);
+  private void evictExpired(long nowMs) {
+    peers.values().removeIf(peer -> peer.expiresAtMs < nowMs);
   }
 
-  /** Returns a random part of some balancers, at most so many; all if they are no more. */
-  private static List<Peer> random(List<Peer> from, int count) {
+  /**
+   * Returns a random sample of a list, or the whole list if it has at most as many elements. May
+   * reorder the list.
+   */
+  private static List<Peer> randomSample(List<Peer> from, int count) {
     if (from.size() <= count) {
       return from;
     }
@@ -269,10 +301,10 @@
     return chosen;
   }
 
-  private static int[] addresses(List<Peer> chosen) {
-    int[] addresses = new int[chosen.size()];
+  private static int[] addressesOf(List<Peer> peers) {
+    int[] addresses = new int[peers.size()];
     for (int i = 0; i < addresses.length; i++) {
-      addresses[i] = chosen.get(i).address;
+      addresses[i] = peers.get(i).address;
     }
     return addresses;
   }
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
@@ -9,20 +9,21 @@
 import java.util.List;
 import javax.annotation.Nullable;
 
-/** A datagram that balancers and agents send to each other. */
+/** A message in a datagram between balancers and agents. */
 public sealed interface PeerMessage {
 
   /**
-   * A balancer forwards a client's segment to an agent.
+   * A client's segment that a balancer forwards to an agent.
    *
+   * @param terms what the balancer knows of the segment's flow
    * @param datagram the segment
    */
   record Forward(ForwardTerms terms, ByteBuffer datagram) implements PeerMessage {}
 
   /**
-   * An agent gives a client's segment back.
+   * A client's segment that an agent returns to the balancer that forwarded it.
    *
-   * @param reason why
+   * @param reason why the agent does not deliver it
    * @param configurationVersion the newest configuration that the agent has seen in effect
    * @param datagram the segment
    */
@@ -30,39 +31,40 @@
       implements PeerMessage {}
 
   /**
-   * A balancer asks for flows.
+   * A balancer's query for flows.
    *
    * @param flows at most {@link PeerMessageCodec#MAX_FLOWS}
    */
-  record Ask(List<FlowId> flows) implements PeerMessage {}
+  record FlowQuery(List<FlowId> flows) implements PeerMessage {}
 
   /**
-   * The answer to {@link Ask}.
+   * The response to a {@link FlowQuery}.
    *
-   * @param flows what the answering node knows of each flow, or of some of them
+   * @param results the results for all or some of the flows in the query
    */
-  record Answer(List<FlowAnswer> flows) implements PeerMessage {}
+  record FlowQueryResponse(List<FlowResult> results) implements PeerMessage {}
 
   /**
-   * What a node knows of a flow.
+   * The result of a query for one flow.
    *
    * @param flow the flow
-   * @param knowledge what the answering node knows
+   * @param result what the responding node knows of the flow
    * @param targetAddress the machine of the target that holds the flow, 0 if unknown
    */
-  record FlowAnswer(FlowId flow, FlowQueryResult knowledge, int targetAddress) {}
+  record FlowResult(FlowId flow, FlowQueryResult result, int targetAddress) {}
 
   /**
-   * A balancer reports that it lives.
+   * A beacon of a live balancer.
    *
-   * @param revision the source's revision that the balancer has
+   * @param revision the revision of the balancer's state
    * @param zone the balancer's zone
-   * @param target what the balancer knows of the receiving agent's target; null if none is listed
-   * @param keepsCopy whether the receiving agent keeps a copy of the state
-   * @param reportIntervalMs how often at most the balancer wants to hear of the agent's load
-   * @param confirmedAgeMs how long ago the source confirmed the state; {@link #NOT_CONFIRMED} if
-   *     the balancer does not read the source, or is not answered
-   * @param balancers addresses of some balancers that it has heard from
+   * @param target the record of the receiving agent's target; null if none is listed
+   * @param keepsCopy whether the receiving agent is to keep a copy of the state
+   * @param reportIntervalMs the shortest time between two beacons that the receiving agent may send
+   *     to the balancer, in milliseconds
+   * @param confirmationAgeMs the time since the source last confirmed the state, in milliseconds;
+   *     {@link #NOT_CONFIRMED} if the balancer does not read the source, or gets no response
+   * @param balancers addresses of some live balancers
    */
   record BalancerBeacon(
       long revision,
@@ -70,29 +72,30 @@
       @Nullable TargetReport target,
       boolean keepsCopy,
       int reportIntervalMs,
-      int confirmedAgeMs,
+      int confirmationAgeMs,
       int[] balancers)
       implements PeerMessage {
-    /** The age on the wire of a confirmation that there is not. */
+    /** The value of {@code confirmationAgeMs} without a confirmation. */
     public static final int NOT_CONFIRMED = -1;
 
-    /** Returns whether the balancer reads the source and is answered. */
+    /** Returns whether the balancer reads the source and gets responses. */
     public boolean isConfirmed() {
-      return confirmedAgeMs >= 0;
+      return confirmationAgeMs >= 0;
     }
   }
 
   /**
-   * An agent reports that it lives.
+   * A beacon of a live agent.
    *
    * @param service the service of its target
    * @param zone the agent's zone
-   * @param revision the source's revision of the state copy that the agent keeps, 0 for none
+   * @param revision the revision of the agent's copy of the state, 0 without a copy
    * @param busyFlows flows of its target with a request in progress
-   * @param stopping whether the agent is about to end
-   * @param targetEjected whether the target has broken off requests of late, or answers none
+   * @param stopping whether the agent is about to exit
+   * @param targetEjected whether outlier detection has ejected the target, since it recently broke
+   *     off requests or responds to none
    * @param targetEnded whether the target's process has ended
-   * @param balancers addresses of some balancers that it has heard from
+   * @param balancers addresses of some live balancers
    */
   record AgentBeacon(
       String service,
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessageCodec.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessageCodec.java
@@ -14,26 +14,27 @@
 import javax.annotation.Nullable;
 
 /**
- * The form of {@link PeerMessage} on the wire, big-endian: a type byte, then the fields in the
- * order of their declaration; a string has a length byte before it, a list of addresses a count
- * byte.
+ * Encodes and decodes {@link PeerMessage}s. A message is a type byte, followed by the fields in the
+ * order of their declaration, big-endian. A string is preceded by a length byte, and a list by a
+ * count byte.
  */
 public final class PeerMessageCodec {
-  /** The largest message, in bytes: the largest segment and what precedes it. */
+  /** The size of the largest message, in bytes: the largest segment and the fields before it. */
   public static final int MAX_BYTES = 2_048;
 
   /**
-   * The most flows that a question or an answer carries: such a datagram is not split on its way.
+   * The largest number of flows in a query or a response. A datagram with that many is not
+   * fragmented on its way.
    */
   public static final int MAX_FLOWS = 80;
 
-  /** The most addresses that a beacon carries. */
+  /** The largest number of addresses in a beacon. */
   public static final int MAX_ADDRESSES = 64;
 
   private static final byte FORWARD = 1;
   private static final byte GIVE_BACK = 2;
-  private static final byte ASK = 3;
-  private static final byte ANSWER = 4;
+  private static final byte FLOW_QUERY = 3;
+  private static final byte FLOW_QUERY_RESPONSE = 4;
   private static final byte BALANCER_BEACON = 5;
   private static final byte AGENT_BEACON = 6;
   private static final int NO_PHASE = 0xFF;
@@ -42,17 +43,17 @@
 
   private PeerMessageCodec() {}
 
-  /** Writes a message at the buffer's position. */
+  /** Encodes a message at the buffer's position. */
   public static void encode(PeerMessage message, ByteBuffer out) {
     if (message instanceof PeerMessage.Forward forward) {
       encodeForward(forward, out);
     } else if (message instanceof PeerMessage.GiveBack giveBack) {
       out.put(GIVE_BACK).put((byte) giveBack.reason().ordinal());
       out.putLong(giveBack.configurationVersion()).put(giveBack.datagram().duplicate());
-    } else if (message instanceof PeerMessage.Ask ask) {
-      encodeAsk(ask, out);
-    } else if (message instanceof PeerMessage.Answer answer) {
-      encodeAnswer(answer, out);
+    } else if (message instanceof PeerMessage.FlowQuery query) {
+      encodeFlowQuery(query, out);
+    } else if (message instanceof PeerMessage.FlowQueryResponse response) {
+      encodeFlowQueryResponse(response, out);
     } else if (message instanceof PeerMessage.BalancerBeacon beacon) {
       encodeBalancerBeacon(beacon, out);
     } else if (message instanceof PeerMessage.AgentBeacon beacon) {
@@ -71,18 +72,19 @@
     out.put(forward.datagram().duplicate());
   }
 
-  private static void encodeAsk(PeerMessage.Ask ask, ByteBuffer out) {
-    out.put(ASK).put((byte) ask.flows().size());
-    for (FlowId flow : ask.flows()) {
+  private static void encodeFlowQuery(PeerMessage.FlowQuery query, ByteBuffer out) {
+    out.put(FLOW_QUERY).put((byte) query.flows().size());
+    for (FlowId flow : query.flows()) {
       putFlow(flow, out);
     }
   }
 
-  private static void encodeAnswer(PeerMessage.Answer answer, ByteBuffer out) {
-    out.put(ANSWER).put((byte) answer.flows().size());
-    for (PeerMessage.FlowAnswer known : answer.flows()) {
-      putFlow(known.flow(), out);
-      out.put((byte) known.knowledge().ordinal()).putInt(known.targetAddress());
+  private static void encodeFlowQueryResponse(
+      PeerMessage.FlowQueryResponse response, ByteBuffer out) {
+    out.put(FLOW_QUERY_RESPONSE).put((byte) response.results().size());
+    for (PeerMessage.FlowResult result : response.results()) {
+      putFlow(result.flow(), out);
+      out.put((byte) result.result().ordinal()).putInt(result.targetAddress());
     }
   }
 
@@ -91,7 +93,7 @@
     putText(beacon.zone(), out);
     putTarget(beacon.target(), out);
     putFlag(beacon.keepsCopy(), out);
-    out.putInt(beacon.reportIntervalMs()).putInt(beacon.confirmedAgeMs());
+    out.putInt(beacon.reportIntervalMs()).putInt(beacon.confirmationAgeMs());
     putAddresses(beacon.balancers(), out);
   }
 
@@ -142,11 +144,11 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
    * @param in the datagram; a segment in the message shares its memory
-   * @return the message, or null if the datagram is none: cut off, or of no known type. The caller
-   *     counts it and logs its sender
+   * @return the message, or null if the datagram is truncated, of an unknown type, or holds a value
+   *     out of range. The caller counts such a datagram and logs its sender
    */
   @Nullable
   public static PeerMessage decode(ByteBuffer in) {
@@ -169,10 +171,10 @@
         GiveBackReason reason = GiveBackReason.ofNumber(in.get());
         long version = in.getLong();
         return reason == null ? null : new PeerMessage.GiveBack(reason, version, in.slice());
-      case ASK:
-        return decodeAsk(in);
-      case ANSWER:
-        return decodeAnswer(in);
+      case FLOW_QUERY:
+        return decodeFlowQuery(in);
+      case FLOW_QUERY_RESPONSE:
+        return decodeFlowQueryResponse(in);
       case BALANCER_BEACON:
         return decodeBalancerBeacon(in);
       case AGENT_BEACON:
@@ -183,7 +185,7 @@
   }
 
   @Nullable
-  private static PeerMessage decodeAsk(ByteBuffer in) {
+  private static PeerMessage decodeFlowQuery(ByteBuffer in) {
     int count = in.get() & BYTE_MASK;
     if (count > MAX_FLOWS) {
       return null;
@@ -192,23 +194,23 @@
     for (int i = 0; i < count; i++) {
       flows.add(getFlow(in));
     }
-    return new PeerMessage.Ask(flows);
+    return new PeerMessage.FlowQuery(flows);
   }
 
   @Nullable
-  private static PeerMessage decodeAnswer(ByteBuffer in) {
+  private static PeerMessage decodeFlowQueryResponse(ByteBuffer in) {
     int count = in.get() & BYTE_MASK;
-    List<PeerMessage.FlowAnswer> flows = new ArrayList<>(count);
+    List<PeerMessage.FlowResult> results = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       FlowId flow = getFlow(in);
-      FlowQueryResult knowledge = FlowQueryResult.ofNumber(in.get());
+      FlowQueryResult result = FlowQueryResult.ofNumber(in.get());
       int targetAddress = in.getInt();
-      if (knowledge == null) {
+      if (result == null) {
         return null;
       }
-      flows.add(new PeerMessage.FlowAnswer(flow, knowledge, targetAddress));
+      results.add(new PeerMessage.FlowResult(flow, result, targetAddress));
     }
-    return new PeerMessage.Answer(flows);
+    return new PeerMessage.FlowQueryResponse(results);
   }
 
   @Nullable
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerSender.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerSender.java
@@ -7,8 +7,8 @@
 import java.nio.ByteBuffer;
 
 /**
- * Encodes messages to other nodes into a buffer of its own and sends them from the peer port. Not
- * thread-safe: whoever sends under a lock, or on one thread, has a sender of its own.
+ * Encodes messages to other nodes into its own buffer and sends them from the peer port. Not
+ * thread-safe: each thread or lock under which messages are sent needs a sender of its own.
  */
 public final class PeerSender {
   private final UdpPort port;
@@ -19,8 +19,8 @@
   /**
    * Creates a sender.
    *
-   * @param port the port to send from; bound before the first message
-   * @param addresses the other nodes' addresses at their peer port
+   * @param port the port to send from; must be bound before the first message
+   * @param addresses the socket addresses of other nodes' peer ports
    * @param metrics counts beacons and their bytes
    */
   public PeerSender(UdpPort port, AddressCache addresses, ForwardingMetrics metrics) {
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/package-info.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/package-info.java
@@ -1,10 +1,10 @@
 /**
- * What nodes say to each other in datagrams, and which nodes are known: the messages, their codec
- * and their sender, beacons and whom they go to, the directory of balancers, gathered questions for
- * flows.
+ * Messages between balancers and agents, and the nodes that they go to: the messages with their
+ * codec and sender, beacons and the selection of their recipients, the directory of balancers, and
+ * batched queries for flows.
  *
- * <p>Owns what this node knows of other balancers, and the times after which a silent node is
- * missed ({@link io.moorstage.forwarding.peer.BalancerBeacons}). What a message means for a flow is
- * decided in module core.
+ * <p>Owns the directory of other balancers, and the times without a beacon after which a node
+ * counts as unavailable ({@link io.moorstage.forwarding.peer.BalancerBeacons}). Module core decides
+ * what a message means for a flow.
  */
 package io.moorstage.forwarding.peer;
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/SourceReaders.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/SourceReaders.java
@@ -23,7 +23,7 @@
  */
 public final class SourceReaders {
   /** A balancer that has been silent for longer may be gone; milliseconds. */
-  static final int HEARD_WITHIN_MS = BalancerBeacons.SILENT_AFTER_MS;
+  static final int HEARD_WITHIN_MS = BalancerBeacons.BEACON_TIMEOUT_MS;
 
   /**
    * Answers of the source, beacons and the processor may be late by so much, in milliseconds. Not
--- a/forwarding/src/test/java/io/moorstage/forwarding/daemon/TimingConsistencyTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/daemon/TimingConsistencyTest.java
@@ -15,18 +15,18 @@
   @Test
   void agentTimesOutAfterThreeLostBeacons() {
     assertThat(ForwardingPolicy.STANDARD.search().agentTimeoutMs())
-        .isEqualTo(3 * BalancerBeacons.PERIOD_MS + BalancerBeacons.LATE_MS);
+        .isEqualTo(3 * BalancerBeacons.PERIOD_MS + BalancerBeacons.DELAY_TOLERANCE_MS);
   }
 
   @Test
   void balancerTimesOutAfterTwoLostBeacons() {
-    assertThat(BalancerBeacons.SILENT_AFTER_MS).isEqualTo(1_300);
-    assertThat(BalancerReadiness.ISOLATION_TIMEOUT_MS).isEqualTo(BalancerBeacons.SILENT_AFTER_MS);
+    assertThat(BalancerBeacons.BEACON_TIMEOUT_MS).isEqualTo(1_300);
+    assertThat(BalancerReadiness.ISOLATION_TIMEOUT_MS).isEqualTo(BalancerBeacons.BEACON_TIMEOUT_MS);
   }
 
   @Test
   void balancerTimesOutBeforeItsMembershipExpires() {
-    assertThat(BalancerReadiness.MEMBERSHIP_MS).isGreaterThan(BalancerBeacons.SILENT_AFTER_MS);
+    assertThat(BalancerReadiness.MEMBERSHIP_MS).isGreaterThan(BalancerBeacons.BEACON_TIMEOUT_MS);
   }
 
   @Test
--- a/forwarding/src/test/java/io/moorstage/forwarding/peer/ListedAgentsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/peer/ListedAgentsTest.java
@@ -22,7 +22,7 @@
     return FleetState.of(3, ForwardingConfiguration.NONE, targets, Evacuations.NONE);
   }
 
-  private static int keepers(ListedAgents agents, int firstAddress) {
+  private static int copyHolders(ListedAgents agents, int firstAddress) {
     int count = 0;
     for (int address = firstAddress; address < firstAddress + 300; address++) {
       count += agents.keepsCopy(address) ? 1 : 0;
@@ -31,21 +31,23 @@
   }
 
   @Test
-  void fewAgentsOfEachZoneKeepACopyHoweverManyThereAre() {
-    ListedAgents agents = ListedAgents.NONE.of(state(238, TargetPhase.READY));
+  void numberOfCopiesInAZoneDoesNotGrowWithItsAgents() {
+    ListedAgents agents = ListedAgents.NONE.forState(state(238, TargetPhase.READY));
     assertThat(agents.count()).isEqualTo(476);
-    assertThat(keepers(agents, 100)).isEqualTo(ListedAgents.COPIES_PER_ZONE);
-    assertThat(keepers(agents, 500)).isEqualTo(ListedAgents.COPIES_PER_ZONE);
+    assertThat(copyHolders(agents, 100)).isEqualTo(ListedAgents.COPIES_PER_ZONE);
+    assertThat(copyHolders(agents, 500)).isEqualTo(ListedAgents.COPIES_PER_ZONE);
   }
 
   @Test
   void allAgentsOfASmallZoneKeepACopy() {
-    assertThat(keepers(ListedAgents.NONE.of(state(3, TargetPhase.READY)), 100)).isEqualTo(3);
+    assertThat(copyHolders(ListedAgents.NONE.forState(state(3, TargetPhase.READY)), 100))
+        .isEqualTo(3);
   }
 
   @Test
-  void agentsBesideTargetsThatHaveGoneKeepNone() {
-    assertThat(keepers(ListedAgents.NONE.of(state(3, TargetPhase.GONE)), 100)).isEqualTo(0);
+  void agentsOfGoneTargetsKeepNoCopy() {
+    assertThat(copyHolders(ListedAgents.NONE.forState(state(3, TargetPhase.GONE)), 100))
+        .isEqualTo(0);
   }
 
   private static TargetRecord start(String id, TargetPhase phase, long listedRevision) {
@@ -53,21 +55,24 @@
   }
 
   private static ListedAgents agents(TargetRecord... targets) {
-    return ListedAgents.NONE.of(
+    return ListedAgents.NONE.forState(
         FleetState.of(9, ForwardingConfiguration.NONE, List.of(targets), Evacuations.NONE));
   }
 
   @Test
-  void targetHasTakenOverIfTheOneBeforeItIsStillListedAsReady() {
+  void earlierStartThatIsListedAsReadyIsAReadyPredecessor() {
     TargetRecord now = start("now", TargetPhase.READY, 7);
-    assertThat(agents(start("before", TargetPhase.READY, 3), now).tookOver(100)).isTrue();
+    assertThat(agents(start("before", TargetPhase.READY, 3), now).isPredecessorListedReady(100))
+        .isTrue();
   }
 
   @Test
-  void targetThatFollowsOneThatHasLeftHasNotTakenOver() {
+  void earlierStartThatHasLeftIsNoReadyPredecessor() {
     TargetRecord now = start("now", TargetPhase.READY, 7);
-    assertThat(agents(start("before", TargetPhase.GONE, 3), now).tookOver(100)).isFalse();
-    assertThat(agents(start("before", TargetPhase.DRAINING, 3), now).tookOver(100)).isFalse();
-    assertThat(agents(now).tookOver(100)).isFalse();
+    assertThat(agents(start("before", TargetPhase.GONE, 3), now).isPredecessorListedReady(100))
+        .isFalse();
+    assertThat(agents(start("before", TargetPhase.DRAINING, 3), now).isPredecessorListedReady(100))
+        .isFalse();
+    assertThat(agents(now).isPredecessorListedReady(100)).isFalse();
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
@@ -23,28 +23,28 @@
   private static final FlowId FLOW = new FlowId(0x64400007, 40_001, 0xC6120001, 443);
   private static final FlowId OTHER_FLOW = new FlowId(0x64400008, 40_002, 0xC6120001, 443);
 
-  private static PeerMessage throughTheWire(PeerMessage message) {
+  private static PeerMessage encodeAndDecode(PeerMessage message) {
     ByteBuffer buffer = ByteBuffer.allocate(PeerMessageCodec.MAX_BYTES);
     PeerMessageCodec.encode(message, buffer);
     return PeerMessageCodec.decode(buffer.flip());
   }
 
   @Test
-  void forwardedSegmentComesThroughUnchanged() {
+  void decodesAForwardedSegmentUnchanged() {
     byte[] segment = {1, 2, 3, 4};
     ForwardTerms terms = new ForwardTerms("tables", 42, 900, 12, true, false);
     PeerMessage.Forward read =
         (PeerMessage.Forward)
-            throughTheWire(new PeerMessage.Forward(terms, ByteBuffer.wrap(segment)));
+            encodeAndDecode(new PeerMessage.Forward(terms, ByteBuffer.wrap(segment)));
     assertThat(read.terms()).isEqualTo(terms);
     assertThat(read.datagram()).isEqualTo(ByteBuffer.wrap(segment));
   }
 
   @Test
-  void segmentGivenBackComesThroughWithItsReason() {
+  void decodesAReturnedSegmentWithItsReason() {
     PeerMessage.GiveBack read =
         (PeerMessage.GiveBack)
-            throughTheWire(
+            encodeAndDecode(
                 new PeerMessage.GiveBack(
                     GiveBackReason.LEAVING, 9, ByteBuffer.wrap(new byte[] {5})));
     assertThat(read.reason()).isEqualTo(GiveBackReason.LEAVING);
@@ -52,54 +52,55 @@
   }
 
   @Test
-  void questionAndAnswerComeThrough() {
-    PeerMessage ask = new PeerMessage.Ask(List.of(FLOW, OTHER_FLOW));
-    PeerMessage answer =
-        new PeerMessage.Answer(
+  void decodesAFlowQueryAndItsResponse() {
+    PeerMessage query = new PeerMessage.FlowQuery(List.of(FLOW, OTHER_FLOW));
+    PeerMessage response =
+        new PeerMessage.FlowQueryResponse(
             List.of(
-                new PeerMessage.FlowAnswer(FLOW, FlowQueryResult.HELD, 7),
-                new PeerMessage.FlowAnswer(OTHER_FLOW, FlowQueryResult.UNKNOWN, 8)));
-    assertThat(throughTheWire(ask)).isEqualTo(ask);
-    assertThat(throughTheWire(answer)).isEqualTo(answer);
+                new PeerMessage.FlowResult(FLOW, FlowQueryResult.HELD, 7),
+                new PeerMessage.FlowResult(OTHER_FLOW, FlowQueryResult.UNKNOWN, 8)));
+    assertThat(encodeAndDecode(query)).isEqualTo(query);
+    assertThat(encodeAndDecode(response)).isEqualTo(response);
   }
 
   @Test
-  void largestQuestionAndAnswerFitIntoADatagram() {
-    PeerMessage ask = new PeerMessage.Ask(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, FLOW));
-    PeerMessage.FlowAnswer known = new PeerMessage.FlowAnswer(FLOW, FlowQueryResult.HELD, 7);
-    PeerMessage answer =
-        new PeerMessage.Answer(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, known));
-    assertThat(throughTheWire(ask)).isEqualTo(ask);
-    assertThat(throughTheWire(answer)).isEqualTo(answer);
+  void largestFlowQueryAndResponseFitIntoADatagram() {
+    PeerMessage query =
+        new PeerMessage.FlowQuery(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, FLOW));
+    PeerMessage.FlowResult result = new PeerMessage.FlowResult(FLOW, FlowQueryResult.HELD, 7);
+    PeerMessage response =
+        new PeerMessage.FlowQueryResponse(Collections.nCopies(PeerMessageCodec.MAX_FLOWS, result));
+    assertThat(encodeAndDecode(query)).isEqualTo(query);
+    assertThat(encodeAndDecode(response)).isEqualTo(response);
   }
 
   @Test
-  void questionForMoreFlowsThanAnAnswerHoldsIsNone() {
+  void rejectsAFlowQueryWithMoreFlowsThanAResponseHolds() {
     ByteBuffer buffer = ByteBuffer.allocate(PeerMessageCodec.MAX_BYTES);
-    PeerMessage ask =
-        new PeerMessage.Ask(Collections.nCopies(PeerMessageCodec.MAX_FLOWS + 1, FLOW));
-    PeerMessageCodec.encode(ask, buffer);
+    PeerMessage query =
+        new PeerMessage.FlowQuery(Collections.nCopies(PeerMessageCodec.MAX_FLOWS + 1, FLOW));
+    PeerMessageCodec.encode(query, buffer);
     assertThat(PeerMessageCodec.decode(buffer.flip())).isNull();
   }
 
   @Test
-  void beaconsComeThrough() {
+  void decodesBeacons() {
     TargetReport target =
         new TargetReport(8, TargetPhase.DRAINING, true, 5, 77, true, 1_500, 2_000);
     PeerMessage.BalancerBeacon read =
         (PeerMessage.BalancerBeacon)
-            throughTheWire(
+            encodeAndDecode(
                 new PeerMessage.BalancerBeacon(
                     8, "lac", target, false, 140, 120, new int[] {1, 2}));
     assertThat(read.target()).isEqualTo(target);
     assertThat(read.keepsCopy()).isFalse();
     assertThat(read.reportIntervalMs()).isEqualTo(140);
-    assertThat(read.confirmedAgeMs()).isEqualTo(120);
+    assertThat(read.confirmationAgeMs()).isEqualTo(120);
     assertThat(read.balancers()).asList().containsExactly(1, 2).inOrder();
 
     PeerMessage.AgentBeacon agent =
         (PeerMessage.AgentBeacon)
-            throughTheWire(
+            encodeAndDecode(
                 new PeerMessage.AgentBeacon("s", "lac", 3, 4, true, false, true, new int[0]));
     assertThat(agent.zone()).isEqualTo("lac");
     assertThat(agent.stopping()).isTrue();
@@ -108,12 +109,12 @@
   }
 
   @Property(seed = "20261202", tries = 20_000)
-  void anyBytesAreAMessageOrNone(@ForAll @Size(max = 64) byte[] bytes) {
+  void decodesAnyBytesWithoutAnException(@ForAll @Size(max = 64) byte[] bytes) {
     PeerMessageCodec.decode(ByteBuffer.wrap(bytes));
   }
 
   @Property(seed = "20261202", tries = 5_000)
-  void anyBytesAreAStateOrATypedFailure(@ForAll @Size(max = 64) byte[] bytes) {
+  void decodesAnyBytesAsAStateOrATypedFailure(@ForAll @Size(max = 64) byte[] bytes) {
     try {
       FleetStateCodec.decode(bytes);
     } catch (StateSourceException e) {
