--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentStateCopy.java
@@ -21,7 +21,7 @@
  * unavailable. Thread-safe.
  */
 final class AgentStateCopy
-    implements FirstStateReader.CopyTaker, PeerStateFetcher.StateHandler, HttpEndpoint.Content {
+    implements FirstStateReader.CopyStore, PeerStateFetcher.StateHandler, HttpEndpoint.Content {
   /**
    * The minimum time between two fetches of the state, in milliseconds. Under continuous changes, a
    * balancer thus serves one transfer a second for each of the four copies of its zone.
@@ -94,14 +94,14 @@
       throw new StateSourceException(
           StateSourceFailure.MALFORMED, "peer state truncated: " + peerState.length + " bytes");
     }
-    if (take(peerState)) {
+    if (storeIfNewer(peerState)) {
       metrics.count(ForwardingCounter.PEER_STATES);
     }
   }
 
   /** Stores an encoded state if it is newer than the current copy, and returns whether it is. */
   @Override
-  public synchronized boolean take(byte[] newer) {
+  public synchronized boolean storeIfNewer(byte[] newer) {
     long newerRevision = ByteBuffer.wrap(newer).getLong(REVISION_OFFSET);
     if (newerRevision <= revision) {
       return false;
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/PeerCatchUp.java
@@ -66,7 +66,7 @@
       // While this node starts, many peers advertise the same state; a single fetch is sufficient.
       return;
     }
-    int peer = lag.peerToQuery(keeper.state().revision(), follower.isAnswering(), nowMs);
+    int peer = lag.peerToQuery(keeper.state().revision(), follower.isReadingSource(), nowMs);
     if (peer != 0) {
       fetcher.fetch(peer);
     }
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/StateConfirmation.java
@@ -59,7 +59,7 @@
    */
   void onBeacon(int peer, PeerMessage.BalancerBeacon beacon, long nowMs) {
     int ageMs = beacon.confirmationAgeMs();
-    readers.heard(peer, beacon.zone(), ageMs, nowMs);
+    readers.recordBeacon(peer, beacon.zone(), ageMs, nowMs);
     if (beacon.isConfirmed() && confirms(beacon.revision(), keeper.state().revision())) {
       onConfirmed(nowMs - ageMs);
     }
@@ -80,7 +80,7 @@
    * to the source failed, or the state has never been confirmed.
    */
   int advertisedAgeMs(long nowMs) {
-    boolean confirmed = follower.isAnswering() && confirmedAtMs > 0;
+    boolean confirmed = follower.isReadingSource() && confirmedAtMs > 0;
     return confirmed
         ? (int) Math.min(nowMs - confirmedAtMs, Integer.MAX_VALUE)
         : PeerMessage.BalancerBeacon.NOT_CONFIRMED;
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/CallPacer.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/CallPacer.java
@@ -1,44 +1,50 @@
 package io.moorstage.forwarding.source;
 
 /**
- * How often does a node that reads the source call it?
+ * Limits the rate at which a node calls the source.
  *
- * <p>Input: the time of each call, in milliseconds of the monotonic clock. Rule: a token bucket;
- * {@link #BURST} calls go at once after a quiet time, and then one each {@link #INTERVAL_MS}.
+ * <p>Input: the time of each call, in milliseconds of the monotonic clock. Rule: a token bucket
+ * with {@link #BURST} tokens, which is refilled with one token each {@link #INTERVAL_MS}; a call
+ * that finds no token is delayed until the next refill.
  *
- * <p>Reason: the source answers a call that waits as soon as there is one change. Where changes
- * come one by one in quick succession, as when targets are replaced, a few of them are taken with
- * one call. Calls have a price; spaced calls, with the two changes made beside them, took the calls
- * of a day with trouble from 2,729 to 1,026 (docs/MEASURED-POLICY.md). Not thread-safe.
+ * <p>Reason: the source responds to a waiting call as soon as there is one change. Where changes
+ * follow each other closely, as when targets are replaced, a delayed call returns several of them.
+ * Each call has a price. Rate-limited calls, together with the two changes made in the same step,
+ * reduced the calls of a day with failures from 2,729 to 1,026 (docs/MEASURED-POLICY.md). Not
+ * thread-safe.
  */
 final class CallPacer {
   /**
-   * Time between calls under steady changes, in milliseconds: a tenth of the shortest time within
-   * which a configuration has to be in effect.
+   * The time between calls while changes keep coming, in milliseconds: a tenth of the shortest time
+   * within which a configuration has to be in effect.
    */
   static final int INTERVAL_MS = 300;
 
   /**
-   * Calls that go at once after a quiet time. Not measured; chosen so that a single change and what
-   * follows it closely wait for nothing.
+   * The number of calls without a delay after an idle time, so that a single change and the few
+   * that follow it closely are not delayed.
    */
   static final int BURST = 4;
 
   private long tokens = BURST;
-  private long refilledAtMs = Long.MIN_VALUE / 2;
+  private long lastRefillMs = Long.MIN_VALUE / 2;
 
-  /** Returns how long to wait before the next call, which is then to be made. */
-  long takeDelayMs(long nowMs) {
-    long refills = (nowMs - refilledAtMs) / INTERVAL_MS;
+  /**
+   * Reserves the next call.
+   *
+   * @return how long to wait before that call, in milliseconds
+   */
+  long reserveDelayMs(long nowMs) {
+    long refills = (nowMs - lastRefillMs) / INTERVAL_MS;
     if (refills > 0) {
       tokens = Math.min(BURST, tokens + refills);
-      refilledAtMs = tokens == BURST ? nowMs : refilledAtMs + refills * INTERVAL_MS;
+      lastRefillMs = tokens == BURST ? nowMs : lastRefillMs + refills * INTERVAL_MS;
     }
     if (tokens > 0) {
       tokens--;
       return 0;
     }
-    refilledAtMs += INTERVAL_MS;
-    return refilledAtMs - nowMs;
+    lastRefillMs += INTERVAL_MS;
+    return lastRefillMs - nowMs;
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/FirstStateReader.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/FirstStateReader.java
@@ -10,60 +10,63 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Reads the configuration source once for an agent that hears nobody who knows the state, so that
- * balancers that start later take it over from there.
+ * Reads the configuration source once for an agent that has not found a node with the state, so
+ * that balancers that start later can copy the state from this agent.
  *
- * <p>After all processes were lost, agents are up before balancers, which take the first load on
- * less processor time; a state in its compact form costs them a tenth of reading the source.
+ * <p>After a loss of all processes, agents start before balancers. A balancer then spends less
+ * processor time before it serves the first load: copying an encoded state costs it a tenth of the
+ * processor time of reading the source.
  */
 public final class FirstStateReader {
   /**
-   * Leaves time for the answer of a balancer that lives, which makes a reading needless. Not
-   * measured; chosen so that a beacon and its answer fit into it.
+   * The wait before the first read, in milliseconds. A beacon to a live balancer and the beacon
+   * that it sends back fit into it, and make the read unnecessary.
    */
-  private static final int FIRST_WAIT_MS = 60;
+  private static final int INITIAL_WAIT_MS = 60;
 
   /**
-   * Spreads the readings of agents that start together. The first of a dozen comes within some 50
-   * ms; balancers take half a second longer to start (docs/PLATFORM.md), and what they advertise
-   * spares the others the reading.
+   * The range of the random delay that is added to the initial wait, in milliseconds. Of a dozen
+   * agents that start together, the first one reads within some 50 ms. Balancers take half a second
+   * longer to start (docs/PLATFORM.md), and once they advertise the state, the other agents do not
+   * read it.
    */
-  private static final int SPREAD_MS = 600;
+  private static final int JITTER_MS = 600;
 
   /**
-   * The shortest pause after a failed reading; it doubles up to {@link #MAX_BACKOFF_MS}, and as
-   * much again is added at random. Not measured; chosen longer than that of a balancer ({@link
-   * SourceBackoff}), which needs the state to forward, while an agent only hands it on.
+   * The first back-off after a failed read, in milliseconds. It doubles up to {@link
+   * #MAX_BACKOFF_MS}, and a random delay of up to the same length is added. It is longer than that
+   * of a balancer ({@link SourceBackoff}), which needs the state to forward segments, while an
+   * agent only provides it to balancers.
    */
   private static final int BACKOFF_MS = 200;
 
   /**
-   * The longest pause after a failed reading, before what is added at random, in milliseconds. Not
-   * measured; chosen below the two seconds within which lapsed entries are back.
+   * The longest back-off after a failed read, without the random delay, in milliseconds. It is
+   * below the two seconds within which expired entries are written again.
    */
   private static final int MAX_BACKOFF_MS = 1_600;
 
   private final StateSource source;
-  private final BooleanSupplier isNeedless;
-  private final CopyTaker taker;
+  private final BooleanSupplier isStateAvailable;
+  private final CopyStore store;
   private final EventLog log;
 
-  /** Takes an encoded state. */
-  public interface CopyTaker {
-    /** Takes a state; returns whether it is newer than the one that was known. */
-    boolean take(byte[] encoded);
+  /** Stores a copy of the encoded state. */
+  public interface CopyStore {
+    /** Stores an encoded state if it is newer than the stored one; returns whether it is. */
+    boolean storeIfNewer(byte[] encoded);
   }
 
   /**
    * Creates a reader.
    *
-   * @param isNeedless whether the state, or a balancer that has it, is known by now
+   * @param isStateAvailable returns whether the state, or a node that may have it, is known by now
    */
   public FirstStateReader(
-      StateSource source, BooleanSupplier isNeedless, CopyTaker taker, EventLog log) {
+      StateSource source, BooleanSupplier isStateAvailable, CopyStore store, EventLog log) {
     this.source = source;
-    this.isNeedless = isNeedless;
-    this.taker = taker;
+    this.isStateAvailable = isStateAvailable;
+    this.store = store;
     this.log = log;
   }
 
@@ -76,8 +79,8 @@
   private void read() {
     try {
       int backoffMs = BACKOFF_MS;
-      Thread.sleep(FIRST_WAIT_MS + ThreadLocalRandom.current().nextInt(SPREAD_MS));
-      while (!isNeedless.getAsBoolean() && !readOnce()) {
+      Thread.sleep(INITIAL_WAIT_MS + ThreadLocalRandom.current().nextInt(JITTER_MS));
+      while (!isStateAvailable.getAsBoolean() && !readAndStore()) {
         Thread.sleep(backoffMs + ThreadLocalRandom.current().nextInt(backoffMs));
         backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
       }
@@ -86,15 +89,15 @@
     }
   }
 
-  private boolean readOnce() {
+  private boolean readAndStore() {
     try {
       FleetState state = source.readAll();
-      // Before anything is configured there is nothing to hand on.
-      boolean usable = state.configuration().version() > 0;
-      if (usable && taker.take(FleetStateCodec.encode(state))) {
+      // A state without a configuration is of no use to balancers.
+      boolean isConfigured = state.configuration().version() > 0;
+      if (isConfigured && store.storeIfNewer(FleetStateCodec.encode(state))) {
         log.event("state-from-source", "revision", Revision.text(state.revision()));
       }
-      return usable;
+      return isConfigured;
     } catch (StateSourceException e) {
       log.event("first-state-failed", "failure", e.failure().code(), "detail", e.getMessage());
       return false;
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/SourceBackoff.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/SourceBackoff.java
@@ -3,45 +3,46 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * How long does this node wait before it calls the source again after a failed call?
+ * Chooses the delay before this node retries a failed call to the source.
  *
- * <p>Input: how many calls in a row have failed. Rule: at random from a floor of {@link #FLOOR_MS}
- * over a range that doubles with each failure, from {@link #FIRST_RANGE_MS} to {@link
- * #LONGEST_RANGE_MS}; 30 to 630 ms in all. Reason: machines that have lost the source together come
- * back to it apart, and a source that is back is noticed within 0.7 s. Each failed call has a price
- * on the platform (docs/MEASURED-POLICY.md: 0.007 to 0.015 of the worth for all calls of a day with
- * trouble). Not thread-safe.
+ * <p>Input: the number of consecutive failures. Rule: the delay is random, from {@link
+ * #MIN_DELAY_MS} over a range that doubles with each failure, from {@link #INITIAL_RANGE_MS} to
+ * {@link #MAX_RANGE_MS}; 30 to 630 ms in all. Reason: nodes that have lost the source together
+ * retry at different times, and each of them notices within 0.7 s that the source is available
+ * again. Each failed call has a price on the platform (docs/MEASURED-POLICY.md: 0.007 to 0.015 of
+ * the worth for all calls of a day with failures). Not thread-safe.
  */
 final class SourceBackoff {
   /**
-   * The first range of random delays, in milliseconds. Not measured; chosen so that one lost answer
-   * delays a change by less than a client's first repetition, 200 ms.
+   * The first range of random delays, in milliseconds. With it, one lost response delays a change
+   * by less than the 200 ms after which a client first retransmits.
    */
-  static final int FIRST_RANGE_MS = 60;
+  static final int INITIAL_RANGE_MS = 60;
 
-  /** No call follows a failure sooner than this, in milliseconds. */
-  static final int FLOOR_MS = FIRST_RANGE_MS / 2;
+  /** The shortest delay after a failed call, in milliseconds. */
+  static final int MIN_DELAY_MS = INITIAL_RANGE_MS / 2;
 
   /**
-   * The longest range, in milliseconds. Not measured; chosen so that a source that is back is
-   * called again within about the time of one beacon, also after a long failure.
+   * The longest range, in milliseconds. With it, a node calls a source that is available again
+   * within about one beacon period, also after a long failure.
    */
-  static final int LONGEST_RANGE_MS = 600;
+  static final int MAX_RANGE_MS = 600;
 
-  /** Bounds the doublings; the longest range is reached before. */
+  /** Bounds the shift; after four doublings, {@link #MAX_RANGE_MS} limits the range. */
   private static final int MAX_DOUBLINGS = 4;
 
-  private int failures;
+  private int consecutiveFailures;
 
-  /** The source has answered. */
-  void onAnswer() {
-    failures = 0;
+  /** Resets the back-off after a call that the source has responded to. */
+  void onSuccess() {
+    consecutiveFailures = 0;
   }
 
-  /** A call has failed; returns how long to wait before the next one, in milliseconds. */
+  /** Records a failed call; returns how long to wait before the next one, in milliseconds. */
   int onFailure() {
-    int rangeMs = Math.min(LONGEST_RANGE_MS, FIRST_RANGE_MS << Math.min(failures, MAX_DOUBLINGS));
-    failures++;
-    return FLOOR_MS + ThreadLocalRandom.current().nextInt(rangeMs);
+    int rangeMs =
+        Math.min(MAX_RANGE_MS, INITIAL_RANGE_MS << Math.min(consecutiveFailures, MAX_DOUBLINGS));
+    consecutiveFailures++;
+    return MIN_DELAY_MS + ThreadLocalRandom.current().nextInt(rangeMs);
   }
 }
--- a/forwarding/src/main/java/io/moorstage/forwarding/source/SourceFollower.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/source/SourceFollower.java
@@ -16,48 +16,48 @@
 import io.moorstage.forwarding.state.StateSourceFailure;
 
 /**
- * Follows the configuration source: waits for changes after the state that a peer has handed over,
- * or reads everything if none has, and again when the source has lost its history or has come back
- * from an older copy of itself.
+ * Follows the configuration source: waits for changes after the state that a peer has provided, or
+ * reads the complete state if no peer has. Reads the complete state again if the source has dropped
+ * the history or was restored from an older copy.
  */
 public final class SourceFollower {
   /**
-   * How long a call waits for a change, in milliseconds: as long as a failure of the source may go
-   * unnoticed. Not measured; chosen so that an idle source is called every two seconds by one
-   * reader a zone.
+   * How long a call waits for a change, in milliseconds. A failure of the source may stay unnoticed
+   * for this long, and one reader in each zone calls an idle source every two seconds.
    */
   public static final int WAIT_MS = 2_000;
 
-  /** The pause after a fault of this program, in milliseconds: the longest range of a back-off. */
-  private static final int INTERNAL_ERROR_PAUSE_MS = SourceBackoff.LONGEST_RANGE_MS;
+  /** The pause after an internal error, in milliseconds. */
+  private static final int INTERNAL_ERROR_PAUSE_MS = SourceBackoff.MAX_RANGE_MS;
 
   /**
-   * How long a start waits for a peer's state: agents advertise theirs every 100 ms while they
-   * start too. To take one over costs a tenth of the processor time of reading the source.
+   * How long a starting node waits for a peer's state, in milliseconds. Agents that start at the
+   * same time advertise theirs every 100 ms. Copying a state costs a tenth of the processor time of
+   * reading the source.
    */
-  private static final int PEER_FIRST_MS = 120;
+  private static final int PEER_STATE_WAIT_MS = 120;
 
   /**
-   * How long a peer's state may go unconfirmed while this node works off a queue of requests, in
-   * milliseconds. Not measured; chosen so that a start on a busy machine is confirmed within a
-   * second.
+   * How long the first call after a peer's state may be delayed while this node is busy with a
+   * queue of requests, in milliseconds. With it, the state is confirmed within a second of a start
+   * on a busy machine.
    */
-  private static final int CONFIRM_WITHIN_MS = 700;
+  private static final int MAX_CONFIRMATION_DELAY_MS = 700;
 
-  /** How often a start looks for a peer's state, in milliseconds; far below that wait. */
-  private static final int PEER_POLL_MS = 10;
+  /** How often a starting node checks for a peer's state, in milliseconds. */
+  private static final int PEER_STATE_POLL_MS = 10;
 
   /**
-   * How often a node that leaves the source to a peer looks whether it has to read itself, in
-   * milliseconds. Not measured; chosen far below the time after which a reader counts as silent.
+   * How often a node that leaves reading to a peer checks whether it has to read the source itself,
+   * in milliseconds; far below the time-out of a reader.
    */
-  private static final int RESERVE_POLL_MS = 100;
+  private static final int STANDBY_POLL_MS = 100;
 
   /**
-   * The first wait after a peer's state, in milliseconds, is short: until it ends, the state is not
-   * confirmed. Not measured.
+   * How long the first call after a peer's state waits for a change, in milliseconds. It is short,
+   * since the state is confirmed only when the call returns.
    */
-  private static final int CONFIRMING_WAIT_MS = 20;
+  private static final int CONFIRMATION_WAIT_MS = 20;
 
   private final StateSource source;
   private final StateKeeper keeper;
@@ -67,31 +67,32 @@
   private final ForwardingMetrics metrics;
   private final CallPacer pacer = new CallPacer();
   private final SourceBackoff backoff = new SourceBackoff();
-  private boolean complete;
-  private boolean confirmed;
-  private volatile boolean answering = true;
-  private volatile boolean reading = true;
+  private boolean hasCompleteState;
+  private boolean isConfirmed;
+  private volatile boolean sourceResponds = true;
+  private volatile boolean isReader = true;
 
   /**
-   * What decides whether and when this node calls the source.
+   * The inputs that decide whether and when this node calls the source.
    *
-   * @param policy says which mechanisms are on
-   * @param processorLag says whether the first call has to wait for the processor
-   * @param readers decides whether this node reads, or another one of its zone
+   * @param policy the mechanisms in use
+   * @param processorLag delays the first call while the processor is busy
+   * @param readers decides whether this node reads the source, or another one of its zone
    */
   public record Conditions(
       ForwardingPolicy policy, ProcessorLag processorLag, SourceReaders readers) {}
 
-  /** Hears that the state was current at some time. */
+  /** Receives the times at which the source confirmed the state. */
   public interface ConfirmationListener {
-    /** The source has answered; nothing newer existed when the call began. */
+    /** Called after each response of the source: nothing newer existed when the call began. */
     void onConfirmed(long nowMs);
   }
 
   /**
    * Creates a follower that has not called the source yet.
    *
-   * @param listener hears each time that the source confirms the state
+   * @param keeper receives what is read
+   * @param listener is called each time that the source confirms the state
    * @param conditions decide whether and when this node calls the source
    */
   public SourceFollower(
@@ -109,9 +110,9 @@
     this.metrics = metrics;
   }
 
-  /** Returns whether this node reads the source, and the last call was answered. */
-  public boolean isAnswering() {
-    return answering && reading;
+  /** Returns whether this node reads the source, and the source responded to the last call. */
+  public boolean isReadingSource() {
+    return sourceResponds && isReader;
   }
 
   public void start() {
@@ -122,18 +123,18 @@
 
   private void followForever() {
     try {
-      complete = awaitPeerState();
+      hasCompleteState = awaitPeerState();
       while (true) {
-        if (!decideToRead()) {
-          Thread.sleep(RESERVE_POLL_MS);
+        if (!updateMustRead()) {
+          Thread.sleep(STANDBY_POLL_MS);
           continue;
         }
-        Thread.sleep(pacer.takeDelayMs(MonotonicClock.nowMs()));
+        Thread.sleep(pacer.reserveDelayMs(MonotonicClock.nowMs()));
         try {
           step();
-          succeeded();
+          onCallSucceeded();
         } catch (StateSourceException e) {
-          failed(e);
+          onCallFailed(e);
         } catch (RuntimeException e) {
           log.event("internal-error", "detail", String.valueOf(e));
           Thread.sleep(INTERNAL_ERROR_PAUSE_MS);
@@ -148,72 +149,73 @@
     if (!conditions.policy().uses(Mechanism.PEER_STATE_FIRST)) {
       return false;
     }
-    long deadlineMs = MonotonicClock.nowMs() + PEER_FIRST_MS;
+    long deadlineMs = MonotonicClock.nowMs() + PEER_STATE_WAIT_MS;
     while (keeper.state().revision() == 0 && MonotonicClock.nowMs() < deadlineMs) {
-      Thread.sleep(PEER_POLL_MS);
+      Thread.sleep(PEER_STATE_POLL_MS);
     }
-    boolean known = keeper.state().revision() > 0;
-    if (known && conditions.policy().uses(Mechanism.PACED_START)) {
-      conditions.processorLag().awaitLow(CONFIRM_WITHIN_MS);
+    boolean isKnown = keeper.state().revision() > 0;
+    if (isKnown && conditions.policy().uses(Mechanism.PACED_START)) {
+      conditions.processorLag().awaitLow(MAX_CONFIRMATION_DELAY_MS);
     }
-    return known;
+    return isKnown;
   }
 
-  // Without any state there is nothing to go on from, whoever else reads.
-  private boolean decideToRead() {
-    boolean shares = complete && conditions.policy().uses(Mechanism.SOURCE_READERS);
-    boolean mustRead = !shares || conditions.readers().mustRead(MonotonicClock.nowMs());
-    if (mustRead != reading) {
-      reading = mustRead;
-      confirmed = false;
+  // Without a complete state, this node reads the source even if a peer reads it too.
+  private boolean updateMustRead() {
+    boolean mayLeaveToPeer = hasCompleteState && conditions.policy().uses(Mechanism.SOURCE_READERS);
+    boolean mustRead = !mayLeaveToPeer || conditions.readers().mustRead(MonotonicClock.nowMs());
+    if (mustRead != isReader) {
+      isReader = mustRead;
+      isConfirmed = false;
       log.event(mustRead ? "reads-source" : "leaves-source-to-peer");
     }
     return mustRead;
   }
 
   private void step() throws StateSourceException {
-    if (complete) {
-      int waitMs = confirmed ? WAIT_MS : CONFIRMING_WAIT_MS;
+    if (hasCompleteState) {
+      int waitMs = isConfirmed ? WAIT_MS : CONFIRMATION_WAIT_MS;
       StateChanges changes = source.awaitChanges(keeper.state().revision(), waitMs);
       keeper.apply(changes, MonotonicClock.nowMs());
     } else {
       readAll();
-      complete = true;
+      hasCompleteState = true;
     }
-    confirmed = true;
+    isConfirmed = true;
   }
 
   private void readAll() throws StateSourceException {
-    FleetState reading = source.readAll();
+    FleetState state = source.readAll();
     long knownRevision = keeper.state().revision();
-    // A reading below the known revision changes little: whoever looks for a change that never came
-    // into force has to see that.
+    // A complete state with a revision below the known one changes little. Logging both revisions
+    // helps an operator to find out why a change never came into effect.
     log.event(
         "state-from-source",
         "revision",
-        Revision.text(reading.revision()),
+        Revision.text(state.revision()),
         "before",
         Revision.text(knownRevision));
-    if (Revision.isOfEarlierEra(reading.revision(), knownRevision)) {
-      throw new StateSourceException(StateSourceFailure.OUTDATED, "the reading is of an old era");
+    if (Revision.isOfEarlierEra(state.revision(), knownRevision)) {
+      throw new StateSourceException(
+          StateSourceFailure.OUTDATED, "the source responded with a state of an earlier era");
     }
-    keeper.replaceBy(reading, MonotonicClock.nowMs());
+    keeper.replaceBy(state, MonotonicClock.nowMs());
   }
 
-  private void succeeded() {
-    backoff.onAnswer();
+  private void onCallSucceeded() {
+    backoff.onSuccess();
     metrics.count(ForwardingCounter.SOURCE_ANSWERS);
     listener.onConfirmed(MonotonicClock.nowMs());
-    if (!answering) {
-      answering = true;
+    if (!sourceResponds) {
+      sourceResponds = true;
       log.event("source-regained", "revision", Revision.text(keeper.state().revision()));
     }
   }
 
-  private void failed(StateSourceException e) throws InterruptedException {
+  private void onCallFailed(StateSourceException e) throws InterruptedException {
     metrics.count(ForwardingCounter.ofFailure(e.failure()));
-    if (answering) {
-      answering = false;
+    if (sourceResponds) {
+      sourceResponds = false;
       log.event(
           "source-lost",
           "failure",
@@ -224,12 +226,12 @@
           Revision.text(keeper.state().revision()));
     }
     if (e.failure() == StateSourceFailure.ERA_CHANGED) {
-      // The source answers: what it holds now is read without a pause.
-      complete = false;
+      // The source responds, so its complete state is read without a back-off.
+      hasCompleteState = false;
       return;
     }
     if (e.failure() == StateSourceFailure.HISTORY_GONE) {
-      complete = false;
+      hasCompleteState = false;
     }
     Thread.sleep(backoff.onFailure());
   }
--- a/forwarding/src/test/java/io/moorstage/forwarding/source/CallPacerTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/source/CallPacerTest.java
@@ -9,13 +9,13 @@
   private long nowMs = 10_000;
 
   private long call() {
-    long delayMs = pacer.takeDelayMs(nowMs);
+    long delayMs = pacer.reserveDelayMs(nowMs);
     nowMs += delayMs;
     return delayMs;
   }
 
   @Test
-  void firstChangesAfterAQuietTimeAreTakenAtOnce() {
+  void firstCallsAfterAnIdleTimeAreNotDelayed() {
     for (int i = 0; i < CallPacer.BURST; i++) {
       assertThat(call()).isEqualTo(0);
     }
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void callsUnderSteadyChangesAreSpaced() {
+  void rateOfCallsIsLimitedWhileChangesKeepComing() {
     long startedAtMs = nowMs;
     int calls = 0;
     while (nowMs < startedAtMs + 30_000) {
--- a/forwarding/src/test/java/io/moorstage/forwarding/source/FirstStateReaderTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/source/FirstStateReaderTest.java
@@ -20,17 +20,17 @@
 import org.junit.jupiter.api.Test;
 
 class FirstStateReaderTest {
-  private static final int PATIENCE_S = 10;
+  private static final int TIMEOUT_S = 10;
 
-  private final AtomicInteger readings = new AtomicInteger();
-  private final BlockingQueue<byte[]> taken = new LinkedBlockingQueue<>();
+  private final AtomicInteger reads = new AtomicInteger();
+  private final BlockingQueue<byte[]> stored = new LinkedBlockingQueue<>();
 
-  /** A source that refuses some readings before it answers with a configuration's version. */
+  /** Returns a source that refuses some reads and then returns a configuration of a version. */
   private StateSource source(int refusals, long version) {
     return new StateSource() {
       @Override
       public FleetState readAll() throws StateSourceException {
-        if (readings.incrementAndGet() <= refusals) {
+        if (reads.incrementAndGet() <= refusals) {
           throw new StateSourceException(StateSourceFailure.REFUSED, "status 503");
         }
         return FleetState.of(
@@ -57,29 +57,29 @@
     };
   }
 
-  private void start(StateSource source, boolean needless) {
-    new FirstStateReader(source, () -> needless, taken::add, new EventLog("n")).start();
+  private void start(StateSource source, boolean isStateAvailable) {
+    new FirstStateReader(source, () -> isStateAvailable, stored::add, new EventLog("n")).start();
   }
 
   @Test
-  void stateIsReadThoughTheSourceRefusesAtFirst() throws Exception {
+  void retriesUntilTheSourceResponds() throws Exception {
     start(source(2, 3), false);
-    byte[] encoded = taken.poll(PATIENCE_S, TimeUnit.SECONDS);
+    byte[] encoded = stored.poll(TIMEOUT_S, TimeUnit.SECONDS);
     assertThat(FleetStateCodec.decode(encoded).state().configuration().version()).isEqualTo(3);
-    assertThat(readings.get()).isEqualTo(3);
+    assertThat(reads.get()).isEqualTo(3);
   }
 
   @Test
-  void nothingIsReadWhereAnotherNodeKnowsTheState() throws Exception {
+  void doesNotReadIfAnotherNodeHasTheState() throws Exception {
     start(source(0, 3), true);
-    assertThat(taken.poll(1, TimeUnit.SECONDS)).isNull();
-    assertThat(readings.get()).isEqualTo(0);
+    assertThat(stored.poll(1, TimeUnit.SECONDS)).isNull();
+    assertThat(reads.get()).isEqualTo(0);
   }
 
   @Test
-  void stateWithoutAConfigurationIsNotHandedOn() throws Exception {
+  void doesNotStoreAStateWithoutAConfiguration() throws Exception {
     start(source(0, 0), false);
-    assertThat(taken.poll(1, TimeUnit.SECONDS)).isNull();
-    assertThat(readings.get()).isAtLeast(1);
+    assertThat(stored.poll(1, TimeUnit.SECONDS)).isNull();
+    assertThat(reads.get()).isAtLeast(1);
   }
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/source/SourceReadersTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/source/SourceReadersTest.java
@@ -13,7 +13,7 @@
   private static final int BALANCERS = 6;
   private static final int FIRST_ADDRESS = 0x0A01000A;
   private static final int BEACON_MS = 500;
-  private static final int UNANSWERED = -1;
+  private static final int NOT_CONFIRMED = -1;
 
   private final Map<Integer, SourceReaders> nodes = new HashMap<>();
   private long nowMs = 10_000;
@@ -25,55 +25,59 @@
     }
   }
 
-  /** All nodes tell how they stand; those that read are answered unless they are refused. */
-  private List<Integer> beaconsAndReaders(List<Integer> refused) {
-    Map<Integer, Integer> ages = new HashMap<>();
+  /**
+   * Lets each node send a beacon to all others; returns the readers that the source responds to,
+   * which are those that it does not refuse.
+   */
+  private List<Integer> exchangeBeacons(List<Integer> refused) {
+    Map<Integer, Integer> confirmationAges = new HashMap<>();
     for (Map.Entry<Integer, SourceReaders> node : nodes.entrySet()) {
-      boolean answered = node.getValue().mustRead(nowMs) && !refused.contains(node.getKey());
-      ages.put(node.getKey(), answered ? 40 : UNANSWERED);
+      boolean responded = node.getValue().mustRead(nowMs) && !refused.contains(node.getKey());
+      confirmationAges.put(node.getKey(), responded ? 40 : NOT_CONFIRMED);
     }
     nowMs += BEACON_MS;
-    List<Integer> answered = new ArrayList<>();
-    for (Map.Entry<Integer, Integer> age : ages.entrySet()) {
-      nodes.forEach((address, node) -> node.heard(age.getKey(), ZONE, age.getValue(), nowMs));
-      if (age.getValue() != UNANSWERED) {
-        answered.add(age.getKey());
+    List<Integer> responded = new ArrayList<>();
+    for (Map.Entry<Integer, Integer> age : confirmationAges.entrySet()) {
+      nodes.forEach(
+          (address, node) -> node.recordBeacon(age.getKey(), ZONE, age.getValue(), nowMs));
+      if (age.getValue() != NOT_CONFIRMED) {
+        responded.add(age.getKey());
       }
     }
-    return answered;
+    return responded;
   }
 
-  private List<Integer> settled(List<Integer> refused) {
-    List<Integer> answered = List.of();
+  private List<Integer> settledReaders(List<Integer> refused) {
+    List<Integer> responded = List.of();
     for (int round = 0; round < 8; round++) {
-      answered = beaconsAndReaders(refused);
+      responded = exchangeBeacons(refused);
     }
-    return answered;
+    return responded;
   }
 
   @Test
-  void onlyOneOfAZoneReadsInCalm() {
+  void oneBalancerOfAZoneReadsWithoutFailures() {
     start(BALANCERS);
-    assertThat(settled(List.of())).hasSize(1);
+    assertThat(settledReaders(List.of())).hasSize(1);
   }
 
   @Test
-  void nodeThatHearsNobodyReads() {
+  void nodeWithoutPeersReads() {
     start(1);
-    assertThat(settled(List.of())).hasSize(1);
+    assertThat(settledReaders(List.of())).hasSize(1);
   }
 
   @Test
   void balancersOfOtherZonesDoNotCount() {
     SourceReaders node = new SourceReaders(FIRST_ADDRESS, ZONE);
     for (int number = 1; number < BALANCERS; number++) {
-      node.heard(FIRST_ADDRESS + number, "ariana", 0, nowMs);
+      node.recordBeacon(FIRST_ADDRESS + number, "ariana", 0, nowMs);
     }
     assertThat(node.mustRead(nowMs)).isTrue();
   }
 
   @Test
-  void someoneIsAnsweredWhicheverMachinesTheSourceRefuses() {
+  void someBalancerGetsResponsesWhicheverMachinesTheSourceRefuses() {
     start(BALANCERS);
     for (int subset = 0; subset < (1 << BALANCERS) - 1; subset++) {
       List<Integer> refused = new ArrayList<>();
@@ -82,47 +86,48 @@
           refused.add(FIRST_ADDRESS + number);
         }
       }
-      assertThat(settled(refused)).isNotEmpty();
+      assertThat(settledReaders(refused)).isNotEmpty();
     }
   }
 
   @Test
-  void anotherReadsAfterTheReaderHasFallenSilent() {
+  void anotherBalancerReadsAfterTheReaderTimesOut() {
     start(BALANCERS);
-    int reader = settled(List.of()).get(0);
+    int reader = settledReaders(List.of()).get(0);
     nodes.remove(reader);
     nowMs += 1_400;
     for (SourceReaders node : nodes.values()) {
       assertThat(node.mustRead(nowMs)).isTrue();
     }
-    assertThat(settled(List.of())).hasSize(1);
+    assertThat(settledReaders(List.of())).hasSize(1);
   }
 
   @Test
-  void readingBeginsOnceTheReadersConfirmationsStopThoughItIsHeard() {
+  void standbyReadsOnceTheReadersConfirmationExpiresThoughItsBeaconsArrive() {
     start(2);
-    int reader = settled(List.of()).get(0);
-    int reserve = reader == FIRST_ADDRESS ? FIRST_ADDRESS + 1 : FIRST_ADDRESS;
-    SourceReaders node = nodes.get(reserve);
-    node.heard(reader, ZONE, 2_000, nowMs);
+    int reader = settledReaders(List.of()).get(0);
+    int standby = reader == FIRST_ADDRESS ? FIRST_ADDRESS + 1 : FIRST_ADDRESS;
+    SourceReaders node = nodes.get(standby);
+    node.recordBeacon(reader, ZONE, 2_000, nowMs);
     assertThat(node.mustRead(nowMs)).isFalse();
     nowMs += BEACON_MS;
-    node.heard(reader, ZONE, SourceReaders.CONFIRMED_WITHIN_MS + 1, nowMs);
+    node.recordBeacon(reader, ZONE, SourceReaders.MAX_CONFIRMATION_AGE_MS + 1, nowMs);
     assertThat(node.mustRead(nowMs)).isTrue();
   }
 
-  // The reader's beacons come at any phase of its calls, each of which may last as long as it may.
+  // Guards against a standby that reads the source although the reader gets responses. The reader's
+  // beacons are sent at any time during its calls, each of which takes its longest time.
   @Test
-  void reserveDoesNotReadWhileTheReaderIsAnsweredAsSeldomAsItMayBe() {
+  void standbyDoesNotReadWhileTheReadersCallsTakeAsLongAsTheyMay() {
     start(2);
-    int reader = settled(List.of()).get(0);
-    int reserve = reader == FIRST_ADDRESS ? FIRST_ADDRESS + 1 : FIRST_ADDRESS;
-    SourceReaders node = nodes.get(reserve);
+    int reader = settledReaders(List.of()).get(0);
+    int standby = reader == FIRST_ADDRESS ? FIRST_ADDRESS + 1 : FIRST_ADDRESS;
+    SourceReaders node = nodes.get(standby);
     int callMs = SourceFollower.WAIT_MS + CallPacer.INTERVAL_MS;
     long startedAtMs = nowMs;
     for (; nowMs < startedAtMs + 40 * callMs; nowMs += 10) {
       if ((nowMs - startedAtMs) % BEACON_MS == 0) {
-        node.heard(reader, ZONE, (int) ((nowMs - startedAtMs) % callMs), nowMs);
+        node.recordBeacon(reader, ZONE, (int) ((nowMs - startedAtMs) % callMs), nowMs);
       }
       assertThat(node.mustRead(nowMs)).isFalse();
     }
