--- a/lab/src/main/java/io/moorstage/lab/process/Build.java
+++ b/lab/src/main/java/io/moorstage/lab/process/Build.java
@@ -2,24 +2,24 @@
 
 import java.nio.file.Path;
 
-/** Where a build has left its files. */
+/** The locations of the files that the build writes. */
 public final class Build {
-  /** Set by the scripts, so that the lab can be called from any folder. */
+  /** Set by the scripts, so that the lab can be started from any working directory. */
   private static final String ROOT_PROPERTY = "moorstage.root";
 
   private Build() {}
 
-  /** Returns the repository's folder; the present one if the scripts have not told it. */
+  /** Returns the root of the repository, or the working directory if the property is not set. */
   public static Path root() {
     return Path.of(System.getProperty(ROOT_PROPERTY, ""));
   }
 
-  /** Returns the jar that the deploy file runs. */
+  /** Returns the jar that the deployment file runs. */
   public static Path jar() {
     return root().resolve("target").resolve("moorstage-forwarding.jar");
   }
 
-  /** Returns a folder for what a command leaves behind. */
+  /** Returns the directory for the output files of a command. */
   public static Path output(String command) {
     return root().resolve("target").resolve(command);
   }
--- a/lab/src/main/java/io/moorstage/lab/process/LaunchCommand.java
+++ b/lab/src/main/java/io/moorstage/lab/process/LaunchCommand.java
@@ -6,36 +6,36 @@
 import java.util.List;
 
 /**
- * The words by which a program is started.
+ * The command line that starts a program.
  *
- * @param words everything before the program's name
+ * @param arguments the executable and all arguments before the program's name
  */
-public record LaunchCommand(List<String> words) {
-  /** As much memory as the deploy file gives an agent, and its flags for a short start. */
+public record LaunchCommand(List<String> arguments) {
+  /** The heap limit that the deployment file sets for an agent, and its flags for a fast start. */
   private static final List<String> OPTIONS =
       List.of("-Xmx64m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
 
-  /** Starts programs from the jar that the deploy file runs. */
+  /** Returns the command that starts programs from a jar, as the deployment file does. */
   public static LaunchCommand ofJar(Path jar) {
-    return of("-jar", jar.toString());
+    return withOptions("-jar", jar.toString());
   }
 
-  /** Starts programs from the classes that this process runs, for tests before there is a jar. */
+  /** Returns the command that starts programs from this process's class path; needs no jar. */
   public static LaunchCommand ofOwnClasses() {
-    return of("-cp", System.getProperty("java.class.path"), Launcher.class.getName());
+    return withOptions("-cp", System.getProperty("java.class.path"), Launcher.class.getName());
   }
 
-  private static LaunchCommand of(String... program) {
-    List<String> words = new ArrayList<>();
-    words.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    words.addAll(OPTIONS);
-    words.addAll(List.of(program));
-    return new LaunchCommand(List.copyOf(words));
+  private static LaunchCommand withOptions(String... program) {
+    List<String> arguments = new ArrayList<>();
+    arguments.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+    arguments.addAll(OPTIONS);
+    arguments.addAll(List.of(program));
+    return new LaunchCommand(List.copyOf(arguments));
   }
 
-  /** Returns the command for one program. */
-  List<String> of(String program) {
-    List<String> all = new ArrayList<>(words);
+  /** Returns the full command line for one program. */
+  List<String> forProgram(String program) {
+    List<String> all = new ArrayList<>(arguments);
     all.add(program);
     return all;
   }
--- a/lab/src/main/java/io/moorstage/lab/process/NotReadyException.java
+++ b/lab/src/main/java/io/moorstage/lab/process/NotReadyException.java
@@ -1,10 +1,15 @@
 package io.moorstage.lab.process;
 
-/** A program did not become ready in time. */
+/** Thrown if a program does not become ready in time. */
 public final class NotReadyException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Names the program's address. */
+  /**
+   * Creates an exception.
+   *
+   * @param address address of the program
+   * @param waitedMs how long the caller has waited, in milliseconds
+   */
   public NotReadyException(String address, int waitedMs) {
     super("not ready within " + waitedMs + " ms: " + address);
   }
--- a/lab/src/main/java/io/moorstage/lab/process/Ports.java
+++ b/lab/src/main/java/io/moorstage/lab/process/Ports.java
@@ -1,26 +1,26 @@
 package io.moorstage.lab.process;
 
 /**
- * Ports on each loopback address, below the range from which the system picks ports of its own. All
- * addresses have the same ones, as the platform's machines do.
+ * Ports on each loopback address, below the range of the system's ephemeral ports. All addresses
+ * use the same ports, as the platform's machines do.
  */
 public final class Ports {
-  /** UDP: clients' packets at balancers, answers at clients. */
+  /** UDP: balancers receive clients' packets here, and clients receive responses. */
   public static final int CLIENT = 28_172;
 
-  /** TCP: readiness. */
+  /** TCP: readiness probes. */
   public static final int READY = 28_167;
 
-  /** UDP and TCP: a target's packets and its health check. */
+  /** UDP and TCP: a target receives packets and health checks here. */
   public static final int APP = 28_165;
 
-  /** UDP: an agent takes its target's packets here. */
+  /** UDP: an agent receives the packets of its target here. */
   public static final int EGRESS = 28_162;
 
-  /** UDP: what nodes send each other. */
+  /** UDP: messages between nodes. */
   public static final int PEER = 27_720;
 
-  /** TCP: nodes hand out their state here. */
+  /** TCP: nodes serve their state to peers here. */
   public static final int STATE = 27_735;
 
   /** TCP: metrics. */
--- a/lab/src/main/java/io/moorstage/lab/process/Programs.java
+++ b/lab/src/main/java/io/moorstage/lab/process/Programs.java
@@ -8,10 +8,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Starts balancers and agents as processes on loopback addresses, and ends them. Thread-safe. */
+/**
+ * Starts balancers and agents as processes on loopback addresses, and terminates them. Thread-safe.
+ */
 public final class Programs implements AutoCloseable {
-  /** Many times the start of a program, for a machine that is busy with others. */
-  private static final int PATIENCE_MS = 10_000;
+  /** Many times the start of a program, so that a busy machine does not cause a time-out. */
+  private static final int READY_TIMEOUT_MS = 10_000;
 
   private static final int POLL_MS = 20;
 
@@ -23,12 +25,12 @@
   private boolean closed;
 
   /**
-   * Creates programs, none of them started.
+   * Creates an instance without processes.
    *
-   * @param command how they are started
-   * @param folder takes settings and logs
+   * @param command the command that starts a program
+   * @param folder the directory for settings files and logs
    * @param store address of the store
-   * @param seeds addresses of the balancers that each program is told of
+   * @param seeds addresses of the balancers that each program has as seeds
    */
   public Programs(LaunchCommand command, Path folder, String store, List<String> seeds) {
     this.command = command;
@@ -46,19 +48,19 @@
     lines.add("node.state-port: " + Ports.STATE);
     lines.add("node.metrics-port: " + Ports.METRICS);
     lines.add("node.readiness-address: " + address + ":" + Ports.READY);
-    // Only the addresses of seeds count; a port has to be there.
+    // Programs use only the addresses of seeds, but the setting requires a port.
     lines.add("node.seeds: " + String.join(":1,", seeds) + ":1");
     lines.add("source.address: " + store + ":" + Ports.STORE);
     lines.add("client.address: " + address + ":" + Ports.CLIENT);
     return lines;
   }
 
-  /** Starts a balancer and does not wait for it. */
+  /** Starts a balancer without waiting until it is ready. */
   public Process startBalancer(String address, String zone) throws IOException {
     return start("balancer", address, settings(address, zone));
   }
 
-  /** Starts an agent and does not wait for it. */
+  /** Starts an agent without waiting until it is ready. */
   public Process startAgent(String address, String zone, String service) throws IOException {
     List<String> lines = settings(address, zone);
     lines.add("agent.target-address: " + address + ":" + Ports.APP);
@@ -70,13 +72,13 @@
   private Process start(String program, String address, List<String> settings) throws IOException {
     Path file = folder.resolve(program + address + ".yaml");
     Files.write(file, settings);
-    ProcessBuilder builder = new ProcessBuilder(command.of(program));
+    ProcessBuilder builder = new ProcessBuilder(command.forProgram(program));
     builder.environment().put(Launcher.SETTINGS_VARIABLE, file.toString());
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(logFile(program, address).toFile()));
     synchronized (processes) {
       if (closed) {
-        throw new IOException("no program is started any more");
+        throw new IOException("no program can be started after close");
       }
       Process process = builder.start();
       processes.add(process);
@@ -88,32 +90,36 @@
     return folder.resolve(program + address + ".log");
   }
 
-  /** Returns what a program has written so far. */
+  /** Returns the log that a program has written so far. */
   public String log(String program, String address) throws IOException {
     return Files.readString(logFile(program, address));
   }
 
   /**
-   * Waits until a program says that it is ready.
+   * Waits until a program reports that it is ready.
    *
-   * @throws NotReadyException if it does not in time
+   * @throws NotReadyException if it is not ready within 10 s
    */
   public static void awaitReady(String address) throws NotReadyException, InterruptedException {
-    long deadlineMs = System.currentTimeMillis() + PATIENCE_MS;
+    long deadlineMs = System.currentTimeMillis() + READY_TIMEOUT_MS;
     while (!Readiness.isReady(address, Ports.READY)) {
       if (System.currentTimeMillis() >= deadlineMs) {
-        throw new NotReadyException(address, PATIENCE_MS);
+        throw new NotReadyException(address, READY_TIMEOUT_MS);
       }
       Thread.sleep(POLL_MS);
     }
   }
 
-  /** Sends a signal to a process of these. */
+  /**
+   * Sends a signal to a process.
+   *
+   * @param name the signal's name without the prefix SIG, such as HUP
+   */
   public static void signal(Process process, String name) throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Ends all processes that were started here, stopped ones included; starts no more. */
+  /** Kills all processes that were started here, also suspended ones, and rejects new starts. */
   @Override
   public void close() throws InterruptedException {
     synchronized (processes) {
--- a/lab/src/main/java/io/moorstage/lab/process/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/process/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Balancers and agents as processes of their own on loopback addresses.
+ * Runs balancers and agents as separate processes on loopback addresses.
  *
- * <p>Owns the processes, their settings files and their logs, and the ports that all stand-ins use.
- * Ends only what it has started, each by its id.
+ * <p>Owns the processes, their settings files and logs, and the port numbers that all stand-ins
+ * use. Terminates only processes that it has started, each by its process id.
  */
 package io.moorstage.lab.process;
--- a/lab/src/test/java/io/moorstage/lab/process/RestoredSourceTest.java
+++ b/lab/src/test/java/io/moorstage/lab/process/RestoredSourceTest.java
@@ -19,22 +19,24 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A target said that it leaves, and got new flows for 3.2 s more, where 3.0 s is the bound. The
- * store had been away for three seconds and had come back from a copy of itself that was some
- * seconds old, so it gave out revisions for the second time. All balancers knew revision 18 from
- * before, and asked for what came after it. While the store was below 18 it refused that, and they
- * read everything, over and over; each wrote these two lines eight times within four seconds:
+ * Guards against changes that are lost when the store is restored from an older copy and assigns
+ * revisions a second time. A draining target then got new flows for 3.2 s; the bound is 3.0 s.
+ *
+ * <p>The store had been unavailable for three seconds and came back from a copy that was some
+ * seconds old. All balancers had seen revision 18 before and requested the changes after it. While
+ * the store was below 18, it rejected these requests, and each balancer read the complete state
+ * again; each logged these two lines eight times within four seconds:
  *
  * <pre>
  * event=source-regained revision=18
  * event=source-lost failure=history-gone detail="status 410" revision=18
  * </pre>
  *
- * <p>Then two writes came in the pause between such a reading and the next question: the target's
- * draining state and version 23 of the configuration. They brought the store to 18, the question
- * was answered again, and neither was ever told: to the balancers both stood at revisions that they
- * knew. The next version was taken as {@code configuration-taken version=26 revision=19}, one
- * revision after three writes, and no process ever logged that the target was draining.
+ * <p>Then two writes, the target's draining state and version 23 of the configuration, came in the
+ * pause between such a read and the next request for changes, and brought the store to revision 18.
+ * The store accepted that request and returned neither write, since both had revisions up to 18.
+ * The next version was logged as {@code configuration-taken version=26 revision=19}, one revision
+ * after three writes, and no process ever logged that the target was draining.
  */
 class RestoredSourceTest {
   private static final String STORE = "127.77.8.1";
@@ -46,13 +48,13 @@
   private static final long LOST_VERSION = 9;
   private static final long NEXT_VERSION = 12;
 
-  /** The platform's bound for a leaving target, and for a configuration to be in force. */
+  /** The platform's bound until a draining target or a new configuration takes effect. */
   private static final int BOUND_MS = 3_000;
 
   private static final int POLL_MS = 20;
 
-  /** More than a balancer makes without a pause. */
-  private static final int PACED_READINGS = 4;
+  /** More complete reads than a balancer makes before its pacing adds a pause. */
+  private static final int PACED_READS = 4;
 
   @TempDir Path folder;
   private Programs programs;
@@ -68,8 +70,8 @@
     programs = new Programs(LaunchCommand.ofOwnClasses(), folder, STORE, List.of(BALANCER));
     store = new StandInStore(new InetSocketAddress(STORE, Ports.STORE));
     openedAtA = new OpeningCount();
-    targetA = new StandInTarget(startAt("a", SIDE_A), openedAtA);
-    targetB = new StandInTarget(startAt("b", SIDE_B), new OpeningCount());
+    targetA = new StandInTarget(targetStart("a", SIDE_A), openedAtA);
+    targetB = new StandInTarget(targetStart("b", SIDE_B), new OpeningCount());
     client = new TestClient(TARGET_SEQUENCE);
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(VERSION_BEFORE_COPY));
     store.put(StoreKeys.target("a"), TestEntries.target(SIDE_A, false));
@@ -89,12 +91,14 @@
     store.close();
   }
 
-  private static TargetStart startAt(String id, String address) {
+  private static TargetStart targetStart(String id, String address) {
     return new TargetStart(id, "tables", address, "z", 5, TARGET_SEQUENCE);
   }
 
-  /** Writes twice what the copy lacks, and waits until the balancer has it. */
-  private void writeWhatIsLost() throws Exception {
+  /**
+   * Makes two writes that the copy does not contain, and waits until the balancer has applied them.
+   */
+  private void makeWritesThatTheCopyLacks() throws Exception {
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(LOST_VERSION - 1));
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(LOST_VERSION));
     awaitConfiguration(LOST_VERSION);
@@ -109,7 +113,7 @@
     }
   }
 
-  private void openSome() throws Exception {
+  private void openFlows() throws Exception {
     for (int i = 0; i < 20; i++) {
       int port = nextPort++;
       assertThat(Packets.isAccepted(client.open(BALANCER, port))).isTrue();
@@ -117,82 +121,81 @@
     }
   }
 
-  private void assertThatTargetAHasLeftWithinTheBound() throws Exception {
+  private void assertThatTargetAGetsNoFlowsAfterTheBound() throws Exception {
     Thread.sleep(BOUND_MS);
     int openedBefore = openedAtA.get();
-    openSome();
+    openFlows();
     assertThat(openedAtA.get()).isEqualTo(openedBefore);
   }
 
   /**
-   * Waits until the balancer has read everything since the store came back, and reads at its
-   * slowest pace if it reads on: what is written now is written in a pause between two of its
-   * calls.
+   * Waits until the balancer has read the complete state from the restored store. If the balancer
+   * keeps reading, waits until its pacing separates the reads: a write that follows falls into a
+   * pause between two of its calls.
    */
-  private void awaitPauseAfterReading(int readingsBefore) throws Exception {
+  private void awaitPauseAfterRead(int readsBefore) throws Exception {
     long deadlineMs = System.currentTimeMillis() + BOUND_MS;
-    while (readings() < readingsBefore + PACED_READINGS
-        && System.currentTimeMillis() < deadlineMs) {
+    while (completeReads() < readsBefore + PACED_READS && System.currentTimeMillis() < deadlineMs) {
       Thread.sleep(POLL_MS);
     }
-    assertThat(readings()).isGreaterThan(readingsBefore);
+    assertThat(completeReads()).isGreaterThan(readsBefore);
   }
 
-  private int readings() throws Exception {
+  private int completeReads() throws Exception {
     return programs.log("balancer", BALANCER).split("event=state-from-source", -1).length - 1;
   }
 
-  private void restoreWhileAway(StoreCopy copy) throws Exception {
+  private void restoreWhileUnavailable(StoreCopy copy) throws Exception {
     store.setMode(StoreMode.BUSY);
-    // Longer than a call waits for a change: none of before is still on its way.
+    // Longer than a call waits for a change, so that no earlier call is still in flight.
     Thread.sleep(SourceFollower.WAIT_MS + 500);
     store.restore(copy);
   }
 
   @Test
-  void targetLeavesInTimeThoughItDrainsAtARevisionThatWasGivenOutBefore() throws Exception {
+  void targetDrainsInTimeAtARevisionThatWasAssignedBefore() throws Exception {
     StoreCopy copy = store.copy();
-    writeWhatIsLost();
-    openSome();
+    makeWritesThatTheCopyLacks();
+    openFlows();
     assertThat(openedAtA.get()).isGreaterThan(0);
 
-    int readingsBefore = readings();
-    restoreWhileAway(copy);
+    int readsBefore = completeReads();
+    restoreWhileUnavailable(copy);
     store.setMode(StoreMode.SERVING);
-    awaitPauseAfterReading(readingsBefore);
+    awaitPauseAfterRead(readsBefore);
     store.put(StoreKeys.target("a"), TestEntries.target(SIDE_A, true));
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(LOST_VERSION));
 
-    assertThatTargetAHasLeftWithinTheBound();
+    assertThatTargetAGetsNoFlowsAfterTheBound();
   }
 
   @Test
-  void configurationIsInForceInTimeThoughItHasARevisionThatWasGivenOutBefore() throws Exception {
+  void configurationTakesEffectInTimeAtARevisionThatWasAssignedBefore() throws Exception {
     StoreCopy copy = store.copy();
-    writeWhatIsLost();
+    makeWritesThatTheCopyLacks();
 
-    int readingsBefore = readings();
-    restoreWhileAway(copy);
+    int readsBefore = completeReads();
+    restoreWhileUnavailable(copy);
     store.setMode(StoreMode.SERVING);
-    awaitPauseAfterReading(readingsBefore);
+    awaitPauseAfterRead(readsBefore);
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(NEXT_VERSION));
     store.put(StoreKeys.target("b"), TestEntries.target(SIDE_B, false));
 
     awaitConfiguration(NEXT_VERSION);
   }
 
-  // No question is refused here: the store has passed the known revision again before the first.
+  // No request is rejected here: the store passes the known revision again before the first one.
   @Test
-  void targetLeavesInTimeThoughTheSourceHasPassedItsOldRevisionUnseen() throws Exception {
+  void targetDrainsInTimeWhenTheSourcePassesItsOldRevisionUnseen() throws Exception {
     StoreCopy copy = store.copy();
-    writeWhatIsLost();
+    makeWritesThatTheCopyLacks();
 
-    restoreWhileAway(copy);
+    restoreWhileUnavailable(copy);
     store.put(StoreKeys.target("a"), TestEntries.target(SIDE_A, true));
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(LOST_VERSION));
     store.put(StoreKeys.CONFIGURATION, TestEntries.configuration(NEXT_VERSION));
     store.setMode(StoreMode.SERVING);
 
-    assertThatTargetAHasLeftWithinTheBound();
+    assertThatTargetAGetsNoFlowsAfterTheBound();
   }
 }
--- a/lab/src/test/java/io/moorstage/lab/process/TestClient.java
+++ b/lab/src/test/java/io/moorstage/lab/process/TestClient.java
@@ -7,17 +7,17 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.DatagramChannel;
 
-/** A client that a test leads step by step, through a balancer of the test's choice. */
+/** A client that sends single packets for a test, each through a balancer that the test names. */
 final class TestClient implements AutoCloseable {
   private static final String ADDRESS = "127.77.9.1";
   private static final Packets.End ROUTE = new Packets.End(0xC6120001, 443);
-  private static final int PATIENCE_MS = 10_000;
-  private static final int REPEAT_MS = 200;
+  private static final int RESPONSE_TIMEOUT_MS = 10_000;
+  private static final int RETRY_INTERVAL_MS = 200;
 
   private final DatagramChannel channel;
   private final int targetSequence;
 
-  /** Creates a client of targets that all accept flows with the same sequence. */
+  /** Creates a client for targets that all accept flows with the same sequence number. */
   TestClient(int targetSequence) throws IOException {
     this.targetSequence = targetSequence;
     this.channel = DatagramChannel.open().bind(new InetSocketAddress(ADDRESS, Ports.CLIENT));
@@ -33,23 +33,23 @@
     channel.send(packet.duplicate(), new InetSocketAddress(balancer, Ports.CLIENT));
   }
 
-  /** Sends a packet again and again, as clients do, until an answer comes. */
-  ByteBuffer ask(String balancer, ByteBuffer packet) throws Exception {
-    long deadline = System.currentTimeMillis() + PATIENCE_MS;
-    while (System.currentTimeMillis() < deadline) {
+  /** Sends a packet repeatedly, as clients do, until a response arrives. */
+  ByteBuffer sendUntilResponse(String balancer, ByteBuffer packet) throws Exception {
+    long deadlineMs = System.currentTimeMillis() + RESPONSE_TIMEOUT_MS;
+    while (System.currentTimeMillis() < deadlineMs) {
       send(balancer, packet);
-      ByteBuffer answer = receive(REPEAT_MS);
-      if (answer != null) {
-        return answer;
+      ByteBuffer response = receive(RETRY_INTERVAL_MS);
+      if (response != null) {
+        return response;
       }
     }
-    throw new AssertionError("no answer through " + balancer);
+    throw new AssertionError("no response through " + balancer);
   }
 
   private ByteBuffer receive(int waitMs) throws Exception {
     ByteBuffer packet = ByteBuffer.allocate(2_048);
-    long deadline = System.currentTimeMillis() + waitMs;
-    while (System.currentTimeMillis() < deadline) {
+    long deadlineMs = System.currentTimeMillis() + waitMs;
+    while (System.currentTimeMillis() < deadlineMs) {
       if (channel.receive(packet) != null) {
         return packet.flip();
       }
@@ -58,24 +58,25 @@
     return null;
   }
 
-  private void drainAnswers() throws Exception {
+  private void discardResponses() throws Exception {
     while (receive(50) != null) {
-      // Answers to repeated packets are of no more interest.
+      // Late responses to repeated packets must not count as the response to the next request.
     }
   }
 
-  /** Opens a flow; returns what answers the opening packet. */
+  /** Opens a flow and returns the response to the opening packet. */
   ByteBuffer open(String balancer, int port) throws Exception {
-    return ask(balancer, Packets.open(end(port), ROUTE, 0));
+    return sendUntilResponse(balancer, Packets.open(end(port), ROUTE, 0));
   }
 
-  /** Sends a request; returns what answers it. */
+  /** Sends a request and returns the response to it. */
   ByteBuffer request(String balancer, int port, int sequence) throws Exception {
-    drainAnswers();
-    return ask(balancer, Packets.data(end(port), ROUTE, sequence, targetSequence + 1, "request"));
+    discardResponses();
+    return sendUntilResponse(
+        balancer, Packets.data(end(port), ROUTE, sequence, targetSequence + 1, "request"));
   }
 
-  /** Sends bytes to any port of any program. */
+  /** Sends bytes to any address and port. */
   void sendTo(InetSocketAddress to, byte[] bytes) throws IOException {
     channel.send(ByteBuffer.wrap(bytes), to);
   }
--- a/lab/src/test/java/io/moorstage/lab/process/TestEntries.java
+++ b/lab/src/test/java/io/moorstage/lab/process/TestEntries.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a test's operator and targets write to the store: one route, and targets of its service. */
+/** The store's entries in tests: a configuration with one route, and targets of its service. */
 final class TestEntries {
   private static final int SERVICE = 0xC6120001;
   private static final int SERVICE_PORT = 443;
