--- a/lab/src/main/java/io/moorstage/lab/store/StandInStore.java
+++ b/lab/src/main/java/io/moorstage/lab/store/StandInStore.java
@@ -18,18 +18,18 @@
 import java.util.concurrent.Executors;
 import javax.annotation.Nullable;
 
-/** A store as the platform's page tells it, with its troubles. Thread-safe. */
+/** A store as the platform's documentation specifies it, with simulated faults. Thread-safe. */
 public final class StandInStore implements AutoCloseable {
-  /** Shorter than the programs wait for an answer, and long enough to be felt. */
-  private static final int SLOW_MS = 400;
+  /** Shorter than the programs' time-out, and long enough to have an effect. */
+  private static final int SLOW_DELAY_MS = 400;
 
-  /** Longer than any program waits. */
-  private static final int SILENT_MS = 10_000;
+  /** Longer than the time-out of any program. */
+  private static final int SILENT_DELAY_MS = 10_000;
 
-  /** Between two answers that tell the same again. */
-  private static final int RETELLING_PAUSE_MS = 100;
+  /** The delay of each response to a watch that replays the history. */
+  private static final int REPLAY_DELAY_MS = 100;
 
-  /** Before any item; a revision of 0 would mean that nothing was ever written. */
+  /** The revision of the empty store; 0 would mean that nothing was ever written. */
   private static final long FIRST_REVISION = 10;
 
   private static final int OK = 200;
@@ -41,12 +41,17 @@
   private final TreeMap<String, StoreItem> items = new TreeMap<>();
   private final List<StoreItem> history = new ArrayList<>();
   private long revision = FIRST_REVISION;
-  private long historySince = FIRST_REVISION;
+  private long historyStartRevision = FIRST_REVISION;
   private int era = 1;
   private volatile StoreMode mode = StoreMode.SERVING;
 
-  /** What a call is answered, and the era that it is true of; without a body, history is gone. */
-  private record Told(int era, @Nullable String body) {}
+  /**
+   * A response to a call.
+   *
+   * @param era the store's era at the time of the response
+   * @param body null if the requested history is gone
+   */
+  private record Response(int era, @Nullable String body) {}
 
   /**
    * Starts an empty store.
@@ -57,7 +62,7 @@
     threads = Executors.newCachedThreadPool(StandInStore::thread);
     server = HttpServer.create(address, 0);
     server.setExecutor(threads);
-    server.createContext("/", this::answer);
+    server.createContext("/", this::handle);
     server.start();
   }
 
@@ -67,7 +72,7 @@
     return thread;
   }
 
-  /** Changes how calls are treated from now on. */
+  /** Changes how the store handles calls from now on. */
   public void setMode(StoreMode next) {
     mode = next;
   }
@@ -77,29 +82,29 @@
     putAt(key, value, revision + 1);
   }
 
-  /** Writes an item at a revision of the caller's choice, which may lie before the present one. */
+  /** Writes an item at a given revision, which may be lower than the current one. */
   public synchronized void putAt(String key, String value, long atRevision) {
-    StoreItem known = items.get(key);
-    long created = known == null ? atRevision : known.created();
+    StoreItem previous = items.get(key);
+    long created = previous == null ? atRevision : previous.created();
     StoreItem item = new StoreItem(key, value, created, atRevision);
     items.put(key, item);
-    note(item);
+    record(item);
   }
 
   /** Removes an item if it is there. */
   public synchronized void remove(String key) {
     if (items.remove(key) != null) {
-      note(new StoreItem(key, null, 0, revision + 1));
+      record(new StoreItem(key, null, 0, revision + 1));
     }
   }
 
-  private void note(StoreItem change) {
+  private void record(StoreItem change) {
     history.add(change);
-    skipTo(change.revision());
+    advanceRevision(change.revision());
   }
 
-  /** Raises the revision as changes would that no caller asks for. */
-  public synchronized void skipTo(long atRevision) {
+  /** Raises the revision as changes of other items would; a lower value has no effect. */
+  public synchronized void advanceRevision(long atRevision) {
     revision = Math.max(revision, atRevision);
     notifyAll();
   }
@@ -109,45 +114,45 @@
     return Set.copyOf(items.keySet());
   }
 
-  /** Returns a copy of all items, to come back from later. */
+  /** Returns a copy of all items, which {@code restore} accepts later. */
   public synchronized StoreCopy copy() {
     return new StoreCopy(new TreeMap<>(items), revision);
   }
 
   /**
-   * Comes back from a copy, in the next era: what was written since is gone, its revisions are
-   * given out again, and a watch from one that the copy does not have is told that history is gone.
+   * Restores the store from a copy and starts the next era: later writes are lost, their revisions
+   * are assigned again, and a watch from a revision above the current one fails with status 410.
    */
   public synchronized void restore(StoreCopy copy) {
     items.clear();
     items.putAll(copy.items());
     revision = copy.revision();
     history.clear();
-    historySince = revision;
+    historyStartRevision = revision;
     era++;
     notifyAll();
   }
 
-  /** Forgets the history: watches that go on from before are told so. */
+  /** Discards the history: a watch from an earlier revision fails with status 410. */
   public synchronized void compact() {
     history.clear();
-    historySince = revision;
+    historyStartRevision = revision;
     notifyAll();
   }
 
-  private void answer(HttpExchange exchange) throws IOException {
+  private void handle(HttpExchange exchange) throws IOException {
     try {
-      StoreMode now = mode;
-      if (now == StoreMode.BUSY) {
-        send(exchange, UNAVAILABLE, inEra(null));
+      StoreMode currentMode = mode;
+      if (currentMode == StoreMode.BUSY) {
+        send(exchange, UNAVAILABLE, responseOf(null));
         return;
       }
-      delay(now);
+      delay(currentMode);
       StoreCall call = StoreCall.of(exchange.getRequestURI());
-      Told told = now == StoreMode.RETELLING ? retell(call) : tell(call);
-      send(exchange, told.body() == null ? GONE : OK, told);
+      Response response = currentMode == StoreMode.REPLAYING ? replay(call) : respond(call);
+      send(exchange, response.body() == null ? GONE : OK, response);
     } catch (InterruptedException e) {
-      // The store is being closed; the caller's connection ends without an answer.
+      // The store is being closed; the connection is closed without a response.
       Thread.currentThread().interrupt();
     } finally {
       exchange.close();
@@ -156,52 +161,53 @@
 
   private static void delay(StoreMode mode) throws InterruptedException {
     if (mode == StoreMode.SILENT) {
-      Thread.sleep(SILENT_MS);
+      Thread.sleep(SILENT_DELAY_MS);
     } else if (mode == StoreMode.SLOW) {
-      Thread.sleep(SLOW_MS);
+      Thread.sleep(SLOW_DELAY_MS);
     }
   }
 
-  private static void send(HttpExchange exchange, int status, Told told) throws IOException {
-    String body = told.body();
+  private static void send(HttpExchange exchange, int status, Response response)
+      throws IOException {
+    String body = response.body();
     byte[] bytes = body == null ? new byte[0] : body.getBytes(StandardCharsets.UTF_8);
-    exchange.getResponseHeaders().set(StoreHeaders.ERA, Integer.toString(told.era()));
+    exchange.getResponseHeaders().set(StoreHeaders.ERA, Integer.toString(response.era()));
     exchange.sendResponseHeaders(status, bytes.length == 0 ? -1 : bytes.length);
     try (OutputStream out = exchange.getResponseBody()) {
       out.write(bytes);
     }
   }
 
-  private synchronized Told inEra(@Nullable String body) {
-    return new Told(era, body);
+  private synchronized Response responseOf(@Nullable String body) {
+    return new Response(era, body);
   }
 
-  private Told retell(StoreCall call) throws InterruptedException {
+  private Response replay(StoreCall call) throws InterruptedException {
     if (call.watch()) {
-      Thread.sleep(RETELLING_PAUSE_MS);
+      Thread.sleep(REPLAY_DELAY_MS);
     }
     synchronized (this) {
-      return inEra(
+      return responseOf(
           call.watch() ? StoreJson.events(history, revision) : StoreJson.range(history, revision));
     }
   }
 
-  private synchronized Told tell(StoreCall call) throws InterruptedException {
-    return inEra(
+  private synchronized Response respond(StoreCall call) throws InterruptedException {
+    return responseOf(
         call.watch() ? watch(call) : StoreJson.range(List.copyOf(items.values()), revision));
   }
 
-  /** Returns null if the history that the caller asks for is gone, or was never there. */
+  /** Returns null if the requested history was discarded, or lies after the current revision. */
   @Nullable
   private synchronized String watch(StoreCall call) throws InterruptedException {
     long deadlineMs = System.currentTimeMillis() + call.waitMs();
-    int askedEra = era;
-    while (era == askedEra
+    int initialEra = era;
+    while (era == initialEra
         && revision == call.afterRevision()
         && System.currentTimeMillis() < deadlineMs) {
       wait(Math.max(1, deadlineMs - System.currentTimeMillis()));
     }
-    if (call.afterRevision() < historySince || call.afterRevision() > revision) {
+    if (call.afterRevision() < historyStartRevision || call.afterRevision() > revision) {
       return null;
     }
     List<StoreItem> events = new ArrayList<>();
@@ -213,7 +219,7 @@
     return StoreJson.events(events, revision);
   }
 
-  /** Stops answering. */
+  /** Stops the server; pending calls get no response. */
   @Override
   public void close() {
     server.stop(0);
--- a/lab/src/main/java/io/moorstage/lab/store/StoreCopy.java
+++ b/lab/src/main/java/io/moorstage/lab/store/StoreCopy.java
@@ -4,9 +4,9 @@
 import java.util.SortedMap;
 
 /**
- * A copy of all that the store holds at one moment.
+ * A copy of the store's items and revision at one time.
  *
- * @param items the items by their keys
- * @param revision the store's revision at that moment
+ * @param items the items by key
+ * @param revision the store's revision at that time
  */
 public record StoreCopy(SortedMap<String, StoreItem> items, long revision) {}
--- a/lab/src/main/java/io/moorstage/lab/store/StoreMode.java
+++ b/lab/src/main/java/io/moorstage/lab/store/StoreMode.java
@@ -1,15 +1,15 @@
 package io.moorstage.lab.store;
 
-/** How the store treats calls. */
+/** How the store handles calls. */
 public enum StoreMode {
-  /** Answers as the platform's page says. */
+  /** Responds as the platform's documentation specifies. */
   SERVING,
-  /** Refuses each call and does nothing. */
+  /** Rejects each call with status 503. */
   BUSY,
-  /** Takes calls and says nothing until long after the caller has given up. */
+  /** Accepts calls, and responds only after 10 s, when the caller has timed out. */
   SILENT,
-  /** Answers late. */
+  /** Delays each response by 400 ms. */
   SLOW,
-  /** Tells the whole history again in each answer, whatever the caller knows already. */
-  RETELLING
+  /** Returns the complete history in each response, also what the caller has already received. */
+  REPLAYING
 }
--- a/lab/src/main/java/io/moorstage/lab/store/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/store/package-info.java
@@ -1,7 +1,6 @@
 /**
- * A stand-in of the platform's store on loopback, with the troubles that a store can have.
+ * A stand-in for the platform's store on loopback that simulates the faults of a store.
  *
- * <p>Owns the items, their revisions and the history; what they look like on the wire is the
- * edge's.
+ * <p>Owns the items, their revisions and the history. Package {@code edge} owns their encoding.
  */
 package io.moorstage.lab.store;
--- a/lab/src/test/java/io/moorstage/lab/process/RealProcessesTest.java
+++ b/lab/src/test/java/io/moorstage/lab/process/RealProcessesTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The programs as real processes on loopback addresses, between a client, two targets and a store
- * that are written from the platform's pages.
+ * Runs balancers and agents as real processes on loopback addresses, with a client, two targets and
+ * a store that are implemented from the platform's documentation.
  */
 class RealProcessesTest {
   private static final String STORE = "127.77.8.1";
@@ -46,12 +46,12 @@
     LaunchCommand command = LaunchCommand.ofOwnClasses();
     programs = new Programs(command, folder, STORE, List.of(BALANCER_A, BALANCER_B));
     store = new StandInStore(new InetSocketAddress(STORE, Ports.STORE));
-    store.setMode(StoreMode.RETELLING);
+    store.setMode(StoreMode.REPLAYING);
     store.putAt(StoreKeys.CONFIGURATION, TestEntries.configuration(), 3);
     store.putAt(StoreKeys.target("a"), TestEntries.target(SIDE_A, false), 4);
     openedAtA = new OpeningCount();
-    targetA = new StandInTarget(startAt("a", SIDE_A), openedAtA);
-    targetB = new StandInTarget(startAt("b", SIDE_B), new OpeningCount());
+    targetA = new StandInTarget(targetStart("a", SIDE_A), openedAtA);
+    targetB = new StandInTarget(targetStart("b", SIDE_B), new OpeningCount());
     client = new TestClient(TARGET_SEQUENCE);
   }
 
@@ -64,7 +64,7 @@
     store.close();
   }
 
-  private static TargetStart startAt(String id, String address) {
+  private static TargetStart targetStart(String id, String address) {
     return new TargetStart(id, "tables", address, "z", 5, TARGET_SEQUENCE);
   }
 
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void flowIsServedAndGoesOnThroughABalancerThatNeverSawIt() throws Exception {
+  void flowContinuesThroughABalancerThatNeverSawIt() throws Exception {
     startAgent(SIDE_A);
     startBalancer(BALANCER_A);
     startBalancer(BALANCER_B);
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void flowSurvivesTheLossOfAllProcessesThatKnewIt() throws Exception {
+  void flowSurvivesTheLossOfItsBalancerAndItsAgent() throws Exception {
     Process agent = startAgent(SIDE_A);
     Process balancer = startBalancer(BALANCER_A);
     client.open(BALANCER_A, 4_003);
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void leavingTargetKeepsItsFlowAndGetsNoNewOne() throws Exception {
+  void drainingTargetKeepsItsFlowAndGetsNoNewOne() throws Exception {
     startAgent(SIDE_A);
     startAgent(SIDE_B);
     startBalancer(BALANCER_A);
@@ -144,41 +144,42 @@
     assertServed(client.request(BALANCER_A, 4_004, 508));
   }
 
-  // The balancer that the store refuses learns of it from its peer, and the agents from either.
+  // A balancer whose calls the store rejects gets the evacuation from its peer, and the agents get
+  // it from either balancer.
   @Test
-  void evacuatedZoneGetsNoNewFlowThroughAnyBalancerUntilItIsLifted() throws Exception {
+  void evacuatedZoneGetsNoNewFlowThroughAnyBalancerUntilTheEvacuationIsLifted() throws Exception {
     store.putAt(StoreKeys.target("b"), TestEntries.target(SIDE_B, "other", false), 5);
     startAgent(SIDE_A);
     startAgent(SIDE_B);
     startBalancer(BALANCER_A);
     startBalancer(BALANCER_B);
-    serve(BALANCER_A, 4_020);
-    serve(BALANCER_B, 4_021);
+    openAndRequest(BALANCER_A, 4_020);
+    openAndRequest(BALANCER_B, 4_021);
     assertThat(openedAtA.get()).isEqualTo(2);
     store.putAt(StoreKeys.evacuation("z"), StoreJson.empty(), 11);
     Thread.sleep(1_500);
     store.setMode(StoreMode.BUSY);
     for (int port = 4_300; port < 4_310; port++) {
-      serve(port % 2 == 0 ? BALANCER_A : BALANCER_B, port);
+      openAndRequest(port % 2 == 0 ? BALANCER_A : BALANCER_B, port);
     }
     assertThat(openedAtA.get()).isEqualTo(2);
     assertServed(client.request(BALANCER_B, 4_020, 508));
-    store.setMode(StoreMode.RETELLING);
+    store.setMode(StoreMode.REPLAYING);
     store.remove(StoreKeys.evacuation("z"));
     Thread.sleep(2_500);
     for (int port = 4_310; port < 4_320; port++) {
-      serve(port % 2 == 0 ? BALANCER_A : BALANCER_B, port);
+      openAndRequest(port % 2 == 0 ? BALANCER_A : BALANCER_B, port);
     }
     assertThat(openedAtA.get()).isGreaterThan(2);
   }
 
-  private void serve(String balancer, int port) throws Exception {
+  private void openAndRequest(String balancer, int port) throws Exception {
     assertThat(Packets.isAccepted(client.open(balancer, port))).isTrue();
     assertServed(client.request(balancer, port, 501));
   }
 
-  // The process of the agent ended before it had told anybody, and each search for a lost flow
-  // waited for its answer.
+  // The agent's process exited before it had announced the end of its target, and each search for a
+  // lost flow then waited for that agent's response.
   @Test
   void lostFlowIsResetWithoutWaitingForAnAgentThatHasStoppedAfterItsTarget() throws Exception {
     store.putAt(StoreKeys.target("b"), TestEntries.target(SIDE_B, false), 5);
@@ -191,16 +192,16 @@
     agentB.destroy();
     assertThat(agentB.waitFor()).isEqualTo(0);
 
-    ByteBuffer answer = client.request(BALANCER_A, 4_031, 501);
-    assertThat(Packets.isReset(answer)).isTrue();
+    ByteBuffer response = client.request(BALANCER_A, 4_031, 501);
+    assertThat(Packets.isReset(response)).isTrue();
     assertThat(programs.log("agent", SIDE_B)).contains("event=target-ended");
     assertThat(programs.log("balancer", BALANCER_A)).doesNotContain("event=not-found");
   }
 
-  // All targets of a service were lost for good once the entries of their killed predecessors
-  // lapsed.
+  // A service permanently lost all its targets once the store's entries of their killed
+  // predecessors, which had the same addresses, had expired.
   @Test
-  void targetIsUsedAfterTheEntryOfTheOneBeforeItAtItsAddressHasLapsed() throws Exception {
+  void targetIsUsedAfterTheEntryOfItsPredecessorAtTheSameAddressHasExpired() throws Exception {
     startAgent(SIDE_A);
     startBalancer(BALANCER_A);
     client.open(BALANCER_A, 4_011);
@@ -214,13 +215,13 @@
   }
 
   @Test
-  void changeThatIsToldAtARevisionThatIsAlreadyKnownIsTaken() throws Exception {
+  void changeAtARevisionThatIsAlreadyKnownIsApplied() throws Exception {
     startAgent(SIDE_A);
     startAgent(SIDE_B);
     startBalancer(BALANCER_A);
     client.open(BALANCER_A, 4_008);
     assertServed(client.request(BALANCER_A, 4_008, 501));
-    store.skipTo(12);
+    store.advanceRevision(12);
     Thread.sleep(500);
     store.putAt(StoreKeys.target("b"), TestEntries.target(SIDE_B, false), 11);
     store.putAt(StoreKeys.target("a"), TestEntries.target(SIDE_A, true), 12);
@@ -234,7 +235,7 @@
   }
 
   @Test
-  void balancerThatStartsWhileTheStoreRefusesItServesFromAPeersState() throws Exception {
+  void balancerThatStartsWhileTheStoreRejectsItsCallsUsesAPeersState() throws Exception {
     startAgent(SIDE_A);
     startBalancer(BALANCER_A);
     client.open(BALANCER_A, 4_005);
@@ -245,7 +246,7 @@
   }
 
   @Test
-  void badInputIsCountedAndDoesNoHarm() throws Exception {
+  void invalidInputIsCountedAndDoesNotDisruptService() throws Exception {
     store.putAt(StoreKeys.target("absurd"), StoreJson.unusableTarget("tables"), 5);
     startAgent(SIDE_A);
     startBalancer(BALANCER_A);
@@ -257,23 +258,25 @@
     assertThat(metrics).contains("moorstage_forwarding_bad_client_datagrams_total 1");
     assertThat(metrics).contains("moorstage_forwarding_bad_peer_datagrams_total 1");
     assertThat(metrics(SIDE_A)).contains("moorstage_forwarding_flows 1");
-    // Agent or balancer reads the store, the other one takes the state over.
-    String none = "moorstage_forwarding_unusable_items 0";
-    assertThat(metrics.contains(none) && metrics(SIDE_A).contains(none)).isFalse();
+    // One of agent and balancer reads the store; the other gets the state from its peer.
+    String noUnusableItems = "moorstage_forwarding_unusable_items 0";
+    assertThat(metrics.contains(noUnusableItems) && metrics(SIDE_A).contains(noUnusableItems))
+        .isFalse();
   }
 
   @Test
-  void flowIsServedThoughAnotherProgramHasThePortOfTheMetrics() throws Exception {
+  void flowIsServedWhenTheMetricsPortIsInUse() throws Exception {
     java.net.InetAddress balancer = java.net.InetAddress.getByName(BALANCER_A);
     java.net.InetAddress side = java.net.InetAddress.getByName(SIDE_A);
-    try (java.net.ServerSocket first = new java.net.ServerSocket(Ports.METRICS, 1, balancer);
-        java.net.ServerSocket second = new java.net.ServerSocket(Ports.METRICS, 1, side)) {
+    try (java.net.ServerSocket balancerPort =
+            new java.net.ServerSocket(Ports.METRICS, 1, balancer);
+        java.net.ServerSocket agentPort = new java.net.ServerSocket(Ports.METRICS, 1, side)) {
       Process agent = startAgent(SIDE_A);
       startBalancer(BALANCER_A);
       client.open(BALANCER_A, 4_010);
       assertServed(client.request(BALANCER_A, 4_010, 501));
       Thread.sleep(500);
-      assertThat(first.isBound() && second.isBound()).isTrue();
+      assertThat(balancerPort.isBound() && agentPort.isBound()).isTrue();
       assertThat(agent.isAlive()).isTrue();
     }
   }
@@ -286,7 +289,7 @@
   }
 
   @Test
-  void plannedStopEndsWithCodeZeroAndReloadEndsNothing() throws Exception {
+  void terminationExitsWithCodeZeroAndReloadKeepsServing() throws Exception {
     startAgent(SIDE_A);
     Process balancer = startBalancer(BALANCER_A);
     Programs.signal(balancer, "HUP");
--- a/lab/src/test/java/io/moorstage/lab/store/StandInStoreTest.java
+++ b/lab/src/test/java/io/moorstage/lab/store/StandInStoreTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The store, read by the adapter that the programs use. */
+/** Tests the store through the client that the programs use. */
 class StandInStoreTest {
   private static final String ADDRESS = "127.80.8.1";
   private static final TargetStart TARGET = TargetStart.of("t", "tables", "127.80.2.2", "z", 3);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void configurationArrivesAsItWasWritten() throws Exception {
+  void configurationIsReadAsItWasWritten() throws Exception {
     List<WeightedService> services =
         List.of(new WeightedService("tables", 3), new WeightedService("bundles", 1));
     ForwardingRoute shared = new ForwardingRoute(0xC6120001, 443, 3_000, true, services);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void changeIsToldToWhoeverHasSeenWhatWasBefore() throws Exception {
+  void watchReturnsTheChangesAfterTheGivenRevision() throws Exception {
     long before = reader.readAll().revision();
     store.put(StoreKeys.target("t"), TARGET.entry(false));
     StateChanges listed = reader.awaitChanges(before, 0);
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void historyThatIsForgottenIsSaidToBeGone() throws Exception {
+  void watchFromBeforeACompactionFailsAsHistoryGone() throws Exception {
     long before = reader.readAll().revision();
     store.put(StoreKeys.target("t"), TARGET.entry(false));
     store.compact();
@@ -95,21 +95,21 @@
   }
 
   @Test
-  void busyStoreRefuses() {
+  void busyStoreRejectsCalls() {
     store.setMode(StoreMode.BUSY);
     assertThat(failureOf(Revision.of(1, 0))).isEqualTo(StateSourceFailure.REFUSED);
   }
 
   @Test
-  void retellingStoreTellsWhatTheCallerKnows() throws Exception {
+  void replayingStoreReturnsChangesThatTheCallerHasReceived() throws Exception {
     store.put(StoreKeys.target("t"), TARGET.entry(false));
     long now = reader.readAll().revision();
-    store.setMode(StoreMode.RETELLING);
+    store.setMode(StoreMode.REPLAYING);
     assertThat(reader.awaitChanges(now, 0).written()).hasSize(1);
   }
 
   @Test
-  void storeThatHasComeBackFromACopyRefusesAWatchFromARevisionThatItDoesNotHave() throws Exception {
+  void restoredStoreRejectsAWatchFromARevisionThatItDoesNotHave() throws Exception {
     store.put(StoreKeys.target("t"), TARGET.entry(false));
     StoreCopy copy = store.copy();
     store.remove(StoreKeys.target("t"));
