--- a/lab/src/main/java/io/moorstage/lab/router/Router.java
+++ b/lab/src/main/java/io/moorstage/lab/router/Router.java
@@ -8,57 +8,58 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
-/**
- * Sends each flow to one of the balancers that are ready, by a hash that is steady. Thread-safe.
- */
+/** Assigns each flow to one of the ready balancers by rendezvous hashing. Thread-safe. */
 public final class Router implements AutoCloseable {
-  /** The platform asks twice a second. */
-  private static final int ASK_EVERY_MS = 500;
+  /** The platform probes twice a second. */
+  private static final int PROBE_INTERVAL_MS = 500;
 
-  /** After as many answers missed a balancer is out. */
-  private static final int MISSES_UNTIL_OUT = 2;
+  /** A balancer is removed after this number of consecutive failed probes. */
+  private static final int FAILURES_UNTIL_REMOVAL = 2;
 
-  /** The golden ratio as a fraction of 2^32; spreads neighbouring ports over all ranks. */
-  private static final int MIX = 0x9E3779B1;
+  /** The golden ratio as a fraction of 2^32; spreads adjacent ports over all ranks. */
+  private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
   private static final int ADDRESS_FACTOR = 31;
 
   private final Map<String, InetSocketAddress> readyBalancers = new ConcurrentHashMap<>();
-  private volatile boolean ended;
+  private volatile boolean closed;
 
-  /** Begins to ask the balancers, each on a thread of its own, as a silent one takes its time. */
+  /**
+   * Starts to probe the balancers, each on its own thread, since a probe of an unresponsive
+   * balancer blocks until its time-out.
+   */
   public Router(List<String> balancers) {
     for (String balancer : balancers) {
-      Thread thread = new Thread(() -> watch(balancer), "readiness-" + balancer);
+      Thread thread = new Thread(() -> probeUntilClosed(balancer), "readiness-" + balancer);
       thread.setDaemon(true);
       thread.start();
     }
   }
 
-  private void watch(String balancer) {
-    int misses = 0;
-    while (!ended) {
-      misses = Readiness.isReady(balancer, Ports.READY) ? 0 : misses + 1;
-      if (misses == 0) {
+  private void probeUntilClosed(String balancer) {
+    int failures = 0;
+    while (!closed) {
+      failures = Readiness.isReady(balancer, Ports.READY) ? 0 : failures + 1;
+      if (failures == 0) {
         readyBalancers.put(balancer, new InetSocketAddress(balancer, Ports.CLIENT));
-      } else if (misses >= MISSES_UNTIL_OUT) {
+      } else if (failures >= FAILURES_UNTIL_REMOVAL) {
         readyBalancers.remove(balancer);
       }
       try {
-        Thread.sleep(ASK_EVERY_MS);
+        Thread.sleep(PROBE_INTERVAL_MS);
       } catch (InterruptedException e) {
         return;
       }
     }
   }
 
-  /** Returns where packets of a client's port go now; empty while no balancer is ready. */
+  /** Returns the balancer for packets of a client's port; empty while no balancer is ready. */
   public Optional<InetSocketAddress> balancerFor(int clientPort) {
     InetSocketAddress best = null;
     int bestRank = 0;
     for (Map.Entry<String, InetSocketAddress> ready : readyBalancers.entrySet()) {
-      int flow = ready.getKey().hashCode() * ADDRESS_FACTOR + clientPort;
-      int rank = (flow * MIX) >>> 1;
+      int flowHash = ready.getKey().hashCode() * ADDRESS_FACTOR + clientPort;
+      int rank = (flowHash * HASH_MULTIPLIER) >>> 1;
       if (best == null || rank > bestRank) {
         best = ready.getValue();
         bestRank = rank;
@@ -67,9 +68,9 @@
     return Optional.ofNullable(best);
   }
 
-  /** Stops asking. */
+  /** Stops the probes. */
   @Override
   public void close() {
-    ended = true;
+    closed = true;
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/router/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/router/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A stand-in of the platform's routers: which balancers are in, and which one gets a flow's
- * packets.
+ * A stand-in for the platform's routers, which select the balancer that gets the packets of a flow.
  *
- * <p>Owns the questions for readiness. Relies on the edge for how they are asked.
+ * <p>Owns the readiness probes and the set of ready balancers. Package {@code edge} implements the
+ * probe itself.
  */
 package io.moorstage.lab.router;
