--- a/lab/src/main/java/io/moorstage/lab/client/ClientFlow.java
+++ b/lab/src/main/java/io/moorstage/lab/client/ClientFlow.java
@@ -5,24 +5,25 @@
 import java.util.Optional;
 import javax.annotation.Nullable;
 
-/** One flow of a client: how far it has come. Belongs to the clients' thread. */
+/** The state of one flow of a client. Confined to the clients' thread. */
 public final class ClientFlow {
-  /** The opening packet takes one number. */
+  /** The opening packet consumes one sequence number. */
   private static final int FIRST_DATA = Packets.CLIENT_SEQUENCE + 1;
 
-  /** When copies of the opening packet follow it, in milliseconds; from the platform's page. */
+  /** When copies of the opening packet follow the first one; from the platform's documentation. */
   private static final int[] COPIES_AFTER_MS = {200, 600};
 
-  /** When a client gives up opening, in milliseconds; from the platform's page. */
-  private static final int OPENING_ENDS_MS = 1_400;
+  /** When a client gives up opening a flow, from the platform's documentation. */
+  private static final int OPENING_TIMEOUT_MS = 1_400;
 
-  /** The first wait before a packet is sent again, and the longest; from the platform's page. */
-  private static final int REPEAT_MS = 200;
+  /** The time to the first retry of a request, from the platform's documentation. */
+  private static final int FIRST_RETRY_MS = 200;
 
-  private static final int MAX_REPEAT_MS = 1_600;
+  /** The longest time between two retries, from the platform's documentation. */
+  private static final int MAX_RETRY_MS = 1_600;
 
-  /** The time-out of the routes, 3 s, and a second for what was under way. */
-  private static final int DEADLINE_MS = 4_000;
+  /** The time-out of the routes, 3 s, and 1 s for packets in flight. */
+  private static final int REQUEST_TIMEOUT_MS = 4_000;
 
   private static final long NS_PER_MS = 1_000_000;
 
@@ -34,18 +35,18 @@
   @Nullable private StandInTarget target;
   private int sequence = FIRST_DATA;
   private long request;
-  private long requestedNs;
-  private long sentNs;
-  private int repeatMs;
-  private long restsUntilNs;
+  private long requestStartNs;
+  private long lastSentNs;
+  private int retryMs;
+  private long idleUntilNs;
   private boolean ended;
 
-  /** What is due for a flow. */
-  enum Due {
+  /** The action that is due for a flow. */
+  enum Action {
     NOTHING,
     COPY,
     REQUEST,
-    REPETITION,
+    RETRY,
     GIVE_UP,
     END
   }
@@ -57,12 +58,12 @@
     this.openedNs = nowNs;
   }
 
-  /** Returns the client's port, which names the flow. */
+  /** Returns the client's port, which identifies the flow. */
   public int port() {
     return port;
   }
 
-  /** Returns the target that has accepted it, if any. */
+  /** Returns the target that has accepted the flow, if any. */
   public Optional<StandInTarget> target() {
     return Optional.ofNullable(target);
   }
@@ -91,61 +92,61 @@
     return target != null;
   }
 
-  Due due(long nowNs) {
+  Action dueAction(long nowNs) {
     if (target == null) {
       return dueWhileOpening((nowNs - openedNs) / NS_PER_MS);
     }
     if (request != 0) {
-      return dueWhileAsking(nowNs);
+      return dueWhileRequestPending(nowNs);
     }
     if (requestsLeft == 0) {
-      return Due.END;
+      return Action.END;
     }
-    return nowNs >= restsUntilNs ? Due.REQUEST : Due.NOTHING;
+    return nowNs >= idleUntilNs ? Action.REQUEST : Action.NOTHING;
   }
 
-  private Due dueWhileOpening(long ageMs) {
-    if (ageMs > OPENING_ENDS_MS) {
-      return Due.GIVE_UP;
+  private Action dueWhileOpening(long ageMs) {
+    if (ageMs > OPENING_TIMEOUT_MS) {
+      return Action.GIVE_UP;
     }
     boolean copyIsDue = copies < COPIES_AFTER_MS.length && ageMs > COPIES_AFTER_MS[copies];
-    return copyIsDue ? Due.COPY : Due.NOTHING;
+    return copyIsDue ? Action.COPY : Action.NOTHING;
   }
 
-  private Due dueWhileAsking(long nowNs) {
-    if (nowNs - requestedNs > DEADLINE_MS * NS_PER_MS) {
-      return Due.GIVE_UP;
+  private Action dueWhileRequestPending(long nowNs) {
+    if (nowNs - requestStartNs > REQUEST_TIMEOUT_MS * NS_PER_MS) {
+      return Action.GIVE_UP;
     }
-    return nowNs - sentNs > repeatMs * NS_PER_MS ? Due.REPETITION : Due.NOTHING;
+    return nowNs - lastSentNs > retryMs * NS_PER_MS ? Action.RETRY : Action.NOTHING;
   }
 
-  void copied() {
+  void recordCopy() {
     copies++;
   }
 
-  void accepted(StandInTarget by) {
-    target = by;
+  void recordAcceptance(StandInTarget acceptingTarget) {
+    target = acceptingTarget;
   }
 
-  void asks(long number, long nowNs) {
+  void startRequest(long number, long nowNs) {
     request = number;
     requestsLeft--;
-    requestedNs = nowNs;
-    sentNs = nowNs;
-    repeatMs = REPEAT_MS;
+    requestStartNs = nowNs;
+    lastSentNs = nowNs;
+    retryMs = FIRST_RETRY_MS;
   }
 
-  void repeats(long nowNs) {
-    sentNs = nowNs;
-    repeatMs = Math.min(2 * repeatMs, MAX_REPEAT_MS);
+  void recordRetry(long nowNs) {
+    lastSentNs = nowNs;
+    retryMs = Math.min(2 * retryMs, MAX_RETRY_MS);
   }
 
-  /** The request was answered; returns after how long, in nanoseconds. */
-  long answered(int requestBytes, int restMs, long nowNs) {
+  /** Records the response to the request; returns the request's latency in nanoseconds. */
+  long recordResponse(int requestBytes, int thinkTimeMs, long nowNs) {
     request = 0;
     sequence += requestBytes;
-    restsUntilNs = nowNs + restMs * NS_PER_MS;
-    return nowNs - requestedNs;
+    idleUntilNs = nowNs + thinkTimeMs * NS_PER_MS;
+    return nowNs - requestStartNs;
   }
 
   void end() {
--- a/lab/src/main/java/io/moorstage/lab/client/ClientListener.java
+++ b/lab/src/main/java/io/moorstage/lab/client/ClientListener.java
@@ -2,29 +2,36 @@
 
 import java.nio.ByteBuffer;
 
-/** Hears what clients see, on the clients' thread. */
+/** Receives the events of clients, on the clients' thread. */
 public interface ClientListener {
-  /** A packet is about to be sent. */
-  void wrote(ByteBuffer packet);
+  /** Called before a packet is sent. */
+  void onSend(ByteBuffer packet);
 
-  /** A request is sent for the first time. */
-  default void requested() {}
+  /** Called before a request is sent for the first time. */
+  default void onRequest() {}
 
-  /** A request was answered by the target that holds its flow, as long after its first sending. */
-  void served(long tookNs);
+  /**
+   * Called when the response to a request arrives.
+   *
+   * @param tookNs time since the request was sent first, in nanoseconds
+   */
+  void onServed(long tookNs);
 
-  /** A flow ended before its requests were served. */
-  void failed(ClientFlow flow);
+  /** Called when a flow ends before all its requests were served. */
+  void onFailed(ClientFlow flow);
 
-  /** A flow was reset; {@code failed} follows. */
-  void reset(ClientFlow flow);
+  /** Called when a flow is reset, before {@link #onFailed}. */
+  void onReset(ClientFlow flow);
 
-  /** A client got an acceptance that no target has written. */
-  void acceptedByNobody(ClientFlow flow);
+  /** Called when a client receives an acceptance that no known target has sent. */
+  void onUnknownAcceptance(ClientFlow flow);
 
-  /** A client got an answer that is not for it, or not from its target. */
-  void foreignAnswer(ClientFlow flow, String text);
+  /**
+   * Called when a client receives a response that is malformed, or that does not come from the
+   * target that has accepted its flow.
+   */
+  void onForeignResponse(ClientFlow flow, String text);
 
-  /** The clients can't go on. */
-  void broke(Exception cause);
+  /** Called when the clients stop because of an error. */
+  void onError(Exception cause);
 }
--- a/lab/src/main/java/io/moorstage/lab/client/FlowClients.java
+++ b/lab/src/main/java/io/moorstage/lab/client/FlowClients.java
@@ -19,20 +19,20 @@
 import java.util.function.IntFunction;
 import javax.annotation.Nullable;
 
-/** Clients on one thread and at one address; each flow has a port of its own. */
+/** Clients on one thread and at one address; each flow has its own port. */
 public final class FlowClients implements AutoCloseable {
-  /** Between two looks at the flows' timers; a hundredth of the shortest of them. */
+  /** Interval between two checks of the flows' timers, a hundredth of the shortest timer. */
   public static final int STEP_MS = 2;
 
   private static final long STEP_NS = TimeUnit.MILLISECONDS.toNanos(STEP_MS);
   private static final int FIRST_PORT = 2_000;
   private static final int LAST_PORT = 60_000;
 
-  /** Length of a request's text. */
+  /** Length of a request's text; each request advances the flow's sequence by it. */
   private static final int REQUEST_BYTES = 10;
 
-  /** The thread sees the end within one step; this leaves it some turns on a busy machine. */
-  private static final int END_WAIT_MS = 1_000;
+  /** The thread ends within one step of 2 ms; the rest allows for a busy machine. */
+  private static final int JOIN_TIMEOUT_MS = 1_000;
 
   private final int address;
   private final Router router;
@@ -43,19 +43,20 @@
   private final Selector selector;
   private final Thread thread;
   private final Map<Integer, ClientFlow> flows = new HashMap<>();
-  private volatile boolean ended;
+  private volatile boolean closed;
   private volatile boolean hasOpenFlows;
   private int nextPort = FIRST_PORT;
   private long nextRequest = 1;
 
   /**
-   * Creates clients that do not send yet.
+   * Creates clients that do not send until {@code start} is called.
    *
-   * @param address their address
-   * @param router tells the way of each packet
-   * @param traffic the load that they make
-   * @param listener hears what they see
-   * @param targetBySequence finds the target that has accepted a flow; null for none
+   * @param address the clients' address
+   * @param router selects the balancer for each packet
+   * @param traffic the load that the clients generate
+   * @param listener receives the clients' events
+   * @param targetBySequence returns the target that accepts flows with a sequence number, or null
+   *     if there is none
    * @throws IOException if the address can't be bound
    */
   public FlowClients(
@@ -78,7 +79,7 @@
     thread.setDaemon(true);
   }
 
-  /** Begins to send. */
+  /** Starts the clients' thread. */
   public void start() {
     thread.start();
   }
@@ -91,7 +92,7 @@
   private void run() {
     ByteBuffer packet = ByteBuffer.allocate(Packets.BUFFER_BYTES);
     try {
-      while (!ended) {
+      while (!closed) {
         step();
         long nextStepNs = System.nanoTime() + STEP_NS;
         do {
@@ -101,7 +102,7 @@
         } while (System.nanoTime() - nextStepNs < 0);
       }
     } catch (IOException | RuntimeException e) {
-      listener.broke(e);
+      listener.onError(e);
     }
   }
 
@@ -130,18 +131,18 @@
   }
 
   private void step(ClientFlow flow, long nowNs) throws IOException {
-    switch (flow.due(nowNs)) {
+    switch (flow.dueAction(nowNs)) {
       case COPY -> {
-        flow.copied();
+        flow.recordCopy();
         sendOpening(flow);
       }
       case REQUEST -> {
-        flow.asks(nextRequest++, nowNs);
-        listener.requested();
+        flow.startRequest(nextRequest++, nowNs);
+        listener.onRequest();
         sendRequest(flow);
       }
-      case REPETITION -> {
-        flow.repeats(nowNs);
+      case RETRY -> {
+        flow.recordRetry(nowNs);
         sendRequest(flow);
       }
       case GIVE_UP -> fail(flow);
@@ -152,25 +153,26 @@
 
   private void fail(ClientFlow flow) {
     flow.end();
-    listener.failed(flow);
+    listener.onFailed(flow);
   }
 
-  private Packets.End endOf(ClientFlow flow) {
+  private Packets.End clientEndOf(ClientFlow flow) {
     return new Packets.End(address, flow.port());
   }
 
   private void sendOpening(ClientFlow flow) throws IOException {
-    send(flow, Packets.open(endOf(flow), flow.service(), flow.copies()));
+    send(flow, Packets.open(clientEndOf(flow), flow.service(), flow.copies()));
   }
 
   private void sendRequest(ClientFlow flow) throws IOException {
     int acknowledged = flow.target().orElseThrow().start().sequence() + 1;
     String text = RequestText.request(flow.request());
-    send(flow, Packets.data(endOf(flow), flow.service(), flow.sequence(), acknowledged, text));
+    send(
+        flow, Packets.data(clientEndOf(flow), flow.service(), flow.sequence(), acknowledged, text));
   }
 
   private void send(ClientFlow flow, ByteBuffer packet) throws IOException {
-    listener.wrote(packet);
+    listener.onSend(packet);
     Optional<InetSocketAddress> balancer = router.balancerFor(flow.port());
     if (balancer.isPresent()) {
       channel.send(packet, balancer.get());
@@ -180,48 +182,49 @@
   private void receive(ByteBuffer packet) throws IOException {
     packet.clear();
     while (channel.receive(packet) != null) {
-      take(packet.flip());
+      handle(packet.flip());
       packet.clear();
     }
   }
 
-  private void take(ByteBuffer packet) {
+  private void handle(ByteBuffer packet) {
     ClientFlow flow = flows.get(Packets.destinationPort(packet));
     if (flow == null || flow.hasEnded()) {
       return;
     }
     if (Packets.isReset(packet)) {
-      listener.reset(flow);
+      listener.onReset(flow);
       fail(flow);
     } else if (Packets.isAccepted(packet)) {
-      takeAcceptance(flow, targetBySequence.apply(Packets.sequence(packet)));
+      handleAcceptance(flow, targetBySequence.apply(Packets.sequence(packet)));
     } else {
-      takeAnswer(flow, Packets.text(packet));
+      handleResponse(flow, Packets.text(packet));
     }
   }
 
-  private void takeAcceptance(ClientFlow flow, @Nullable StandInTarget target) {
+  private void handleAcceptance(ClientFlow flow, @Nullable StandInTarget target) {
     if (flow.isOpen()) {
       return;
     }
     if (target == null) {
-      listener.acceptedByNobody(flow);
+      listener.onUnknownAcceptance(flow);
       flow.end();
     } else {
-      flow.accepted(target);
+      flow.recordAcceptance(target);
     }
   }
 
-  private void takeAnswer(ClientFlow flow, String text) {
-    Optional<RequestText.Answer> answer = RequestText.read(text);
+  private void handleResponse(ClientFlow flow, String text) {
+    Optional<RequestText.Response> response = RequestText.parseResponse(text);
     boolean fromOwnTarget =
-        answer.isPresent() && flow.isOpen() && answer.get().targetId().equals(targetId(flow));
-    // A repetition of an answer that the flow has had is no harm; one of another target is.
+        response.isPresent() && flow.isOpen() && response.get().targetId().equals(targetId(flow));
+    // A repeated response of the flow's own target is allowed; a response of another target is not.
     if (!fromOwnTarget) {
-      listener.foreignAnswer(flow, text);
+      listener.onForeignResponse(flow, text);
     }
-    if (answer.isPresent() && flow.request() != 0 && answer.get().request() == flow.request()) {
-      listener.served(flow.answered(REQUEST_BYTES, traffic.restMs(), System.nanoTime()));
+    if (response.isPresent() && flow.request() != 0 && response.get().request() == flow.request()) {
+      listener.onServed(
+          flow.recordResponse(REQUEST_BYTES, traffic.thinkTimeMs(), System.nanoTime()));
     }
   }
 
@@ -229,11 +232,11 @@
     return flow.target().orElseThrow().start().id();
   }
 
-  /** Ends the clients; open flows are left as they are. */
+  /** Stops the clients without closing open flows. */
   @Override
   public void close() throws IOException, InterruptedException {
-    ended = true;
-    thread.join(END_WAIT_MS);
+    closed = true;
+    thread.join(JOIN_TIMEOUT_MS);
     channel.close();
     selector.close();
   }
--- a/lab/src/main/java/io/moorstage/lab/client/FlowPlan.java
+++ b/lab/src/main/java/io/moorstage/lab/client/FlowPlan.java
@@ -3,9 +3,9 @@
 import io.moorstage.lab.edge.Packets;
 
 /**
- * A flow that is to be opened.
+ * Describes a flow to open.
  *
- * @param service address and port that it names
- * @param requests how many requests it carries, one after the other
+ * @param service destination address and port
+ * @param requests how many requests the flow carries, one after the other
  */
 public record FlowPlan(Packets.End service, int requests) {}
--- a/lab/src/main/java/io/moorstage/lab/client/Traffic.java
+++ b/lab/src/main/java/io/moorstage/lab/client/Traffic.java
@@ -2,11 +2,11 @@
 
 import java.util.Optional;
 
-/** Decides what load clients make; called on the clients' thread. */
+/** Defines the load that clients generate; called on the clients' thread. */
 public interface Traffic {
-  /** Returns the flow to open now, if any; asked every {@code FlowClients.STEP_MS}. */
+  /** Returns the flow to open now, if any; called every {@link FlowClients#STEP_MS}. */
   Optional<FlowPlan> next(long nowMs);
 
-  /** Returns how long a flow rests after an answer, in milliseconds. */
-  int restMs();
+  /** Returns the time between a response and the flow's next request, in milliseconds. */
+  int thinkTimeMs();
 }
--- a/lab/src/main/java/io/moorstage/lab/client/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/client/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Stand-ins of the platform's clients: flows with the page's timers, of one request or of many.
+ * Stand-ins for the platform's clients: flows with the timers of the platform's documentation, each
+ * of one or more requests.
  *
- * <p>Owns the flows, the clients' socket and the numbers of requests. What load they make is the
- * {@code Traffic}'s, what to think of it the {@code ClientListener}'s. Relies on the router for the
- * way, and on the targets to tell who has accepted a flow.
+ * <p>Owns the flows, the clients' socket and the numbers of requests. {@code Traffic} defines the
+ * load, and {@code ClientListener} evaluates the events. The router selects the balancer of a flow,
+ * and the sequence numbers of targets identify the one that has accepted it.
  */
 package io.moorstage.lab.client;
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoClients.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoClients.java
@@ -24,20 +24,20 @@
   }
 
   @Override
-  public void requested() {
+  public void onRequest() {
     sent.incrementAndGet();
   }
 
   @Override
-  public void served(long tookNs) {
-    super.served(tookNs);
+  public void onServed(long tookNs) {
+    super.onServed(tookNs);
     long tookUs = TimeUnit.NANOSECONDS.toMicros(tookNs);
     latenciesUs.recordValue(Math.min(tookUs, MAX_LATENCY_US));
   }
 
   @Override
-  public void failed(ClientFlow flow) {
-    super.failed(flow);
+  public void onFailed(ClientFlow flow) {
+    super.onFailed(flow);
     if (flow.target().isEmpty()) {
       unopened.incrementAndGet();
     }
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoTraffic.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoTraffic.java
@@ -43,7 +43,7 @@
   }
 
   @Override
-  public int restMs() {
+  public int thinkTimeMs() {
     return random.nextInt(MAX_REST_MS);
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedClients.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/WatchedClients.java
@@ -17,22 +17,22 @@
   }
 
   @Override
-  public void wrote(ByteBuffer packet) {
+  public void onSend(ByteBuffer packet) {
     monitor.wrote(Packets.unchangeable(packet));
   }
 
   @Override
-  public void served(long tookNs) {
+  public void onServed(long tookNs) {
     monitor.served();
   }
 
   @Override
-  public void failed(ClientFlow flow) {
+  public void onFailed(ClientFlow flow) {
     monitor.failed();
   }
 
   @Override
-  public void reset(ClientFlow flow) {
+  public void onReset(ClientFlow flow) {
     Optional<StandInTarget> target = flow.target();
     if (target.isPresent() && target.get().holds(flow.port())) {
       String detail = "port " + flow.port() + " at " + target.get().start().id();
@@ -41,17 +41,17 @@
   }
 
   @Override
-  public void acceptedByNobody(ClientFlow flow) {
+  public void onUnknownAcceptance(ClientFlow flow) {
     monitor.breach(Rule.FOREIGN_PACKET, "acceptance of no target, port " + flow.port());
   }
 
   @Override
-  public void foreignAnswer(ClientFlow flow, String text) {
+  public void onForeignResponse(ClientFlow flow, String text) {
     monitor.breach(Rule.FOREIGN_ANSWER, "port " + flow.port() + " got " + text);
   }
 
   @Override
-  public void broke(Exception cause) {
+  public void onError(Exception cause) {
     monitor.breach(Rule.HARNESS, "clients: " + cause);
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
@@ -68,21 +68,21 @@
 
   private final class Reports implements TargetListener {
     @Override
-    public void reached(ByteBuffer packet) {
+    public void onPacket(ByteBuffer packet) {
       monitor.reached(Packets.unchangeable(packet), start.id());
     }
 
     @Override
-    public void opened(ByteBuffer packet) {
+    public void onOpened(ByteBuffer packet) {
       noteOpened(Packets.destination(packet), System.currentTimeMillis());
     }
 
     @Override
-    public String run(String request) {
+    public String runRequest(String request) {
       long number = RequestText.numberOf(request);
       runs.incrementAndGet();
       monitor.ran(number, start.id());
-      return RequestText.answer(number, start.id());
+      return RequestText.response(number, start.id());
     }
   }
 
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakTraffic.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakTraffic.java
@@ -65,7 +65,7 @@
   }
 
   @Override
-  public int restMs() {
+  public int thinkTimeMs() {
     boolean longRest = random.nextInt(ONE_IN_LONG_RESTS) == 0;
     return random.nextInt(longRest ? LONG_REST_MS : SHORT_REST_MS);
   }
--- a/lab/src/main/java/io/moorstage/lab/targets/StandInTarget.java
+++ b/lab/src/main/java/io/moorstage/lab/targets/StandInTarget.java
@@ -19,15 +19,18 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A target as the platform's page tells it: accepts flows, runs each request once, returns what it
- * lacks, and has a TCP port of the same number for health checks, which takes connections and says
- * nothing. Thread-safe.
+ * A target as the platform's documentation specifies it: accepts flows, runs each request once,
+ * returns packets of flows that it does not hold, and has a TCP port of the same number for health
+ * checks, which accepts connections and sends nothing. Thread-safe.
  */
 public final class StandInTarget implements AutoCloseable {
-  /** Together 1 s: the thread of the start before needs one turn on the processor to end. */
-  private static final int BIND_TRIES = 100;
+  /**
+   * Together 1 s: the thread of the previous start has to be scheduled once before its port is
+   * free.
+   */
+  private static final int BIND_RETRIES = 100;
 
-  private static final long BIND_PAUSE_NS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long BIND_RETRY_INTERVAL_NS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private final TargetStart start;
   private final TargetListener listener;
@@ -36,7 +39,7 @@
   private final SocketAddress egress;
   private final Set<Integer> acceptedPorts = new HashSet<>();
   private final Set<Integer> heldPorts = new HashSet<>();
-  private final Map<String, String> answers = new HashMap<>();
+  private final Map<String, String> responses = new HashMap<>();
   private volatile boolean alive = true;
 
   /**
@@ -47,41 +50,41 @@
   public StandInTarget(TargetStart start, TargetListener listener) throws IOException {
     this.start = start;
     this.listener = listener;
-    InetSocketAddress own = new InetSocketAddress(start.address(), Ports.APP);
-    this.channel = bind(own);
-    this.health = ServerSocketChannel.open().bind(own);
+    InetSocketAddress ownEndpoint = new InetSocketAddress(start.address(), Ports.APP);
+    this.channel = bind(ownEndpoint);
+    this.health = ServerSocketChannel.open().bind(ownEndpoint);
     this.egress = new InetSocketAddress(start.address(), Ports.EGRESS);
     Thread thread = new Thread(this::serve, "target-" + start.id());
     thread.setDaemon(true);
     thread.start();
   }
 
-  // The port of the start before it is free only once that one's thread has seen its end.
-  private static DatagramChannel bind(InetSocketAddress own) throws IOException {
+  // The port is free only after the thread of the previous start has noticed that it was closed.
+  private static DatagramChannel bind(InetSocketAddress ownEndpoint) throws IOException {
     DatagramChannel channel = DatagramChannel.open();
-    for (int tries = 0; ; tries++) {
+    for (int retries = 0; ; retries++) {
       try {
-        return channel.bind(own);
+        return channel.bind(ownEndpoint);
       } catch (BindException e) {
-        if (tries == BIND_TRIES) {
+        if (retries == BIND_RETRIES) {
           throw e;
         }
-        LockSupport.parkNanos(BIND_PAUSE_NS);
+        LockSupport.parkNanos(BIND_RETRY_INTERVAL_NS);
       }
     }
   }
 
-  /** Returns which start this is. */
+  /** Returns the description of this start. */
   public TargetStart start() {
     return start;
   }
 
-  /** Returns whether it has not been ended. */
+  /** Returns whether the target has not been closed. */
   public boolean isAlive() {
     return alive;
   }
 
-  /** Returns whether it lives and holds the flow of a client's port. */
+  /** Returns whether the target is alive and holds the flow of a client's port. */
   public synchronized boolean holds(int clientPort) {
     return alive && heldPorts.contains(clientPort);
   }
@@ -92,42 +95,42 @@
       while (true) {
         packet.clear();
         channel.receive(packet);
-        take(packet.flip());
+        handle(packet.flip());
       }
     } catch (ClosedChannelException e) {
-      // It has ended.
+      // The target was closed.
     } catch (IOException e) {
       throw new UncheckedIOException("target " + start.id(), e);
     }
   }
 
-  private synchronized void take(ByteBuffer packet) throws IOException {
-    listener.reached(packet);
+  private synchronized void handle(ByteBuffer packet) throws IOException {
+    listener.onPacket(packet);
     int clientPort = Packets.sourcePort(packet);
     if (Packets.isOpening(packet)) {
       acceptedPorts.add(clientPort);
       channel.send(Packets.accepted(packet, start.sequence()), egress);
       return;
     }
-    boolean completes =
+    boolean completesOpening =
         acceptedPorts.contains(clientPort) && Packets.ack(packet) == start.sequence() + 1;
-    if (completes && heldPorts.add(clientPort)) {
-      listener.opened(packet);
+    if (completesOpening && heldPorts.add(clientPort)) {
+      listener.onOpened(packet);
     }
     if (heldPorts.contains(clientPort)) {
-      channel.send(Packets.answer(packet, start.sequence() + 1, answerTo(packet)), egress);
+      channel.send(Packets.answer(packet, start.sequence() + 1, responseTo(packet)), egress);
     } else {
-      listener.returned(packet);
+      listener.onReturned(packet);
       channel.send(Packets.returned(packet), egress);
     }
   }
 
-  private String answerTo(ByteBuffer packet) {
+  private String responseTo(ByteBuffer packet) {
     String request = Packets.sourcePort(packet) + ":" + Packets.sequence(packet);
-    return answers.computeIfAbsent(request, key -> listener.run(Packets.text(packet)));
+    return responses.computeIfAbsent(request, key -> listener.runRequest(Packets.text(packet)));
   }
 
-  /** Ends at once and forgets its flows. */
+  /** Stops the target at once, without notice to its flows. */
   @Override
   public synchronized void close() throws IOException {
     alive = false;
--- a/lab/src/main/java/io/moorstage/lab/targets/TargetListener.java
+++ b/lab/src/main/java/io/moorstage/lab/targets/TargetListener.java
@@ -2,17 +2,20 @@
 
 import java.nio.ByteBuffer;
 
-/** Hears what happens at a target, on the target's thread, and runs its requests. */
+/** Receives the events of a target and runs its requests, on the target's thread. */
 public interface TargetListener {
-  /** A packet has come. */
-  default void reached(ByteBuffer packet) {}
+  /** Called for each packet that the target receives. */
+  default void onPacket(ByteBuffer packet) {}
 
-  /** A flow has opened by its first packet after the acceptance. */
-  default void opened(ByteBuffer packet) {}
+  /** Called when a flow opens, with the first packet of its client after the acceptance. */
+  default void onOpened(ByteBuffer packet) {}
 
-  /** A packet of a flow that the target does not hold was given back. */
-  default void returned(ByteBuffer packet) {}
+  /** Called before the target returns a packet of a flow that it does not hold. */
+  default void onReturned(ByteBuffer packet) {}
 
-  /** Runs a request, which is asked for once however often its packet comes; returns the answer. */
-  String run(String request);
+  /**
+   * Runs a request and returns the response. Called once for each request, however often its packet
+   * arrives.
+   */
+  String runRequest(String request);
 }
--- a/lab/src/main/java/io/moorstage/lab/targets/TargetStart.java
+++ b/lab/src/main/java/io/moorstage/lab/targets/TargetStart.java
@@ -6,15 +6,16 @@
 import java.util.Random;
 
 /**
- * One start of a target.
+ * Describes one start of a target.
  *
- * @param id a name that no other start has, unless starts say when they began
- * @param service its service
- * @param address its machine's address
- * @param zone its zone
- * @param slots how many requests it says that it works on at a time
- * @param sequence names this start in what clients see: the number that follows in its answers
- * @param startedAtMs when it began, in Unix milliseconds; 0 if it does not say so
+ * @param id unique among all starts, or only among targets if starts have a start time
+ * @param service the target's service
+ * @param address address of the target's machine
+ * @param zone the target's zone
+ * @param slots how many requests the target announces to run concurrently
+ * @param sequence sequence number of the target's acceptances, by which clients identify the start;
+ *     its responses have the next number
+ * @param startedAtMs the start time in Unix milliseconds; 0 if the start does not announce it
  */
 public record TargetStart(
     String id,
@@ -24,16 +25,16 @@
     int slots,
     int sequence,
     long startedAtMs) {
-  /** Keeps sequences positive, so that the next number never wraps. */
+  /** Keeps sequence numbers positive, so that the next number does not overflow. */
   private static final int SEQUENCE_BOUND = 1 << 28;
 
-  /** Creates a start that does not say when it began. */
+  /** Creates a start that does not announce its start time. */
   public TargetStart(
       String id, String service, String address, String zone, int slots, int sequence) {
     this(id, service, address, zone, slots, sequence, 0);
   }
 
-  /** Returns a start whose sequence follows from its id. */
+  /** Returns a start whose sequence number is derived from its id. */
   public static TargetStart of(String id, String service, String address, String zone, int slots) {
     return new TargetStart(id, service, address, zone, slots, sequenceOf(id.hashCode()));
   }
@@ -43,15 +44,17 @@
   }
 
   /**
-   * Returns this start as one that says when it began, and with a sequence that follows from it.
+   * Returns a copy that announces its start time, with a sequence number derived from id and time.
    */
   public TargetStart at(long atMs) {
-    // The id in bits of its own: ids and times that lie side by side would give one sequence.
+    // The id's hash is shifted into the upper bits, so that adjacent ids and start times do not
+    // give
+    // the same seed.
     long seed = (long) id.hashCode() << Integer.SIZE ^ atMs;
     return new TargetStart(id, service, address, zone, slots, sequenceOf(seed), atMs);
   }
 
-  /** Returns the entry by which the store lists this target. */
+  /** Returns the value of this target's entry in the store. */
   public String entry(boolean draining) {
     return StoreJson.target(
         new TargetEntry(service, address, Ports.APP, zone, slots, startedAtMs), draining);
--- a/lab/src/main/java/io/moorstage/lab/targets/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/targets/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A stand-in of a target on loopback.
+ * A stand-in for a target on loopback.
  *
- * <p>Owns the flows that a target holds and the answers that it has given; what a request does is
- * the listener's. Relies on the edge for packets.
+ * <p>Owns the flows that a target holds and its responses. The listener runs the requests. Package
+ * {@code edge} encodes and decodes the packets.
  */
 package io.moorstage.lab.targets;
--- a/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
+++ b/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
@@ -23,14 +23,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Clients behind a balancer that the test plays; it breaks each rule that clients judge. */
+/**
+ * Tests clients whose balancer is simulated by the test, which violates each rule that clients
+ * check.
+ */
 class FlowClientsTest {
   private static final String BALANCER = "127.80.1.1";
   private static final String SIDE = "127.80.2.3";
   private static final String CLIENTS = "127.80.9.2";
   private static final FlowPlan PLAN = new FlowPlan(new Packets.End(0xC6120001, 443), 2);
   private static final int RESET = 8;
-  private static final int PATIENCE_MS = 10_000;
+  private static final int TIMEOUT_MS = 10_000;
 
   private final RuleMonitor monitor = new RuleMonitor();
   private final TargetStart start = TargetStart.of("t", "tables", SIDE, "z", 1);
@@ -41,8 +44,8 @@
   private StandInTarget target;
   private FlowClients clients;
 
-  /** Opens one flow as soon as a packet would reach the balancer. */
-  private final class OneFlow implements Traffic {
+  /** Opens one flow as soon as the router has a ready balancer. */
+  private final class SingleFlow implements Traffic {
     private final AtomicBoolean opened = new AtomicBoolean();
 
     @Override
@@ -52,7 +55,7 @@
     }
 
     @Override
-    public int restMs() {
+    public int thinkTimeMs() {
       return 0;
     }
   }
@@ -75,7 +78,7 @@
         new FlowClients(
             CLIENTS,
             router,
-            new OneFlow(),
+            new SingleFlow(),
             new WatchedClients(monitor),
             sequence -> sequence == start.sequence() ? target : null);
     clients.start();
@@ -83,7 +86,7 @@
 
   private static DatagramChannel channel(String address, int port) throws IOException {
     DatagramChannel channel = DatagramChannel.open().bind(new InetSocketAddress(address, port));
-    channel.socket().setSoTimeout(PATIENCE_MS);
+    channel.socket().setSoTimeout(TIMEOUT_MS);
     return channel;
   }
 
@@ -118,12 +121,12 @@
     return packet;
   }
 
-  private void answer(ByteBuffer request, String text) throws IOException {
+  private void respond(ByteBuffer request, String text) throws IOException {
     reply(Packets.answer(request, start.sequence() + 1, text));
   }
 
-  private void awaitBroken(Rule rule) throws InterruptedException {
-    long deadlineMs = System.currentTimeMillis() + PATIENCE_MS;
+  private void awaitBreach(Rule rule) throws InterruptedException {
+    long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
     while (monitor.breaches().isEmpty() && System.currentTimeMillis() < deadlineMs) {
       Thread.sleep(5);
     }
@@ -132,14 +135,14 @@
   }
 
   @Test
-  void answersOfTheFlowsTargetAreServed() throws Exception {
-    answer(firstRequest(), "1 t");
+  void responsesOfTheFlowsTargetCountAsServed() throws Exception {
+    respond(firstRequest(), "1 t");
     ByteBuffer second = receive(balancer);
     while (!Packets.text(second).trim().equals("2")) {
       second = receive(balancer);
     }
-    answer(second, "2 t");
-    long deadlineMs = System.currentTimeMillis() + PATIENCE_MS;
+    respond(second, "2 t");
+    long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
     while (clients.hasOpenFlows() && System.currentTimeMillis() < deadlineMs) {
       Thread.sleep(5);
     }
@@ -149,25 +152,25 @@
   }
 
   @Test
-  void answerOfAnotherTargetIsTold() throws Exception {
-    answer(firstRequest(), "1 another");
-    awaitBroken(Rule.FOREIGN_ANSWER);
+  void responseOfAnotherTargetIsReported() throws Exception {
+    respond(firstRequest(), "1 another");
+    awaitBreach(Rule.FOREIGN_ANSWER);
   }
 
   @Test
-  void textThatNoTargetWritesIsTold() throws Exception {
-    answer(firstRequest(), "nonsense");
-    awaitBroken(Rule.FOREIGN_ANSWER);
+  void malformedResponseIsReported() throws Exception {
+    respond(firstRequest(), "nonsense");
+    awaitBreach(Rule.FOREIGN_ANSWER);
   }
 
   @Test
-  void acceptanceOfNoTargetIsTold() throws Exception {
+  void acceptanceOfAnUnknownTargetIsReported() throws Exception {
     reply(Packets.accepted(receive(balancer), start.sequence() + 1));
-    awaitBroken(Rule.FOREIGN_PACKET);
+    awaitBreach(Rule.FOREIGN_PACKET);
   }
 
   @Test
-  void resetOfAFlowThatItsTargetHoldsIsTold() throws Exception {
+  void resetOfAFlowThatItsTargetHoldsIsReported() throws Exception {
     ByteBuffer open = receive(balancer);
     InetSocketAddress app = new InetSocketAddress(SIDE, Ports.APP);
     agent.send(open.duplicate(), app);
@@ -180,13 +183,13 @@
     agent.send(request.duplicate(), app);
     receive(agent);
     reply(Packets.answer(request, 0, "").put(0, (byte) RESET));
-    awaitBroken(Rule.OPEN_FLOW_RESET);
+    awaitBreach(Rule.OPEN_FLOW_RESET);
   }
 
   @Test
-  void resetOfAFlowThatNobodyHoldsIsOnlyAFailure() throws Exception {
+  void resetOfAFlowThatNoTargetHoldsIsOnlyAFailure() throws Exception {
     reply(Packets.answer(firstRequest(), 0, "").put(0, (byte) RESET));
-    long deadlineMs = System.currentTimeMillis() + PATIENCE_MS;
+    long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
     while (monitor.failedCount() == 0 && System.currentTimeMillis() < deadlineMs) {
       Thread.sleep(5);
     }
--- a/lab/src/test/java/io/moorstage/lab/process/OpeningCount.java
+++ b/lab/src/test/java/io/moorstage/lab/process/OpeningCount.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the flows that open at a target, which answers each request alike. */
+/** Counts the flows that open at a target, and returns the same response to each request. */
 final class OpeningCount implements TargetListener {
   private final AtomicInteger opened = new AtomicInteger();
 
@@ -13,12 +13,12 @@
   }
 
   @Override
-  public void opened(ByteBuffer packet) {
+  public void onOpened(ByteBuffer packet) {
     opened.incrementAndGet();
   }
 
   @Override
-  public String run(String request) {
+  public String runRequest(String request) {
     return "answer";
   }
 }
--- a/lab/src/test/java/io/moorstage/lab/targets/TargetStartTest.java
+++ b/lab/src/test/java/io/moorstage/lab/targets/TargetStartTest.java
@@ -11,10 +11,10 @@
   private static final long FIRST_AT_MS = 1_796_273_983_830L;
   private static final int SPAN_MS = 50;
 
-  // Two of six targets that started within 50 ms had one sequence, and clients took the answers of
-  // one for the other's.
+  // Two of six targets that started within 50 ms had the same sequence number, so that clients
+  // attributed the responses of one to the other.
   @Test
-  void startsOfSeveralTargetsWithinAMomentHaveSequencesOfTheirOwn() {
+  void startsOfSeveralTargetsWithin50MsHaveDistinctSequences() {
     Set<Integer> sequences = new HashSet<>();
     for (int target = 1; target <= TARGETS; target++) {
       String address = "127.78.2." + target;
