--- a/lab/src/main/java/io/moorstage/lab/edge/Ipv4.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/Ipv4.java
@@ -1,12 +1,12 @@
 package io.moorstage.lab.edge;
 
-/** IPv4 addresses as numbers and as text. */
+/** Converts IPv4 addresses between numbers and dotted-decimal text. */
 public final class Ipv4 {
   private static final int OCTET_MASK = 0xFF;
 
   private Ipv4() {}
 
-  /** Returns an address in dotted form. */
+  /** Returns an address in dotted-decimal form. */
   public static String text(int address) {
     return String.format(
         "%d.%d.%d.%d",
@@ -16,7 +16,12 @@
         address & OCTET_MASK);
   }
 
-  /** Returns the number of an address in dotted form, which must be well formed. */
+  /**
+   * Parses an address in dotted-decimal form.
+   *
+   * @param text a well-formed address; neither the number of octets nor their range is checked
+   * @throws NumberFormatException if an octet is not a number
+   */
   public static int number(String text) {
     int address = 0;
     for (String octet : text.split("\\.", -1)) {
--- a/lab/src/main/java/io/moorstage/lab/edge/StoreCall.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreCall.java
@@ -5,17 +5,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A call to the store.
+ * A request to the store.
  *
- * @param watch whether the caller waits for changes; otherwise it asks for all items
- * @param afterRevision watch only: the caller knows everything up to here
- * @param waitMs watch only: how long the call may wait for a change, in milliseconds
+ * @param watch whether the caller requests changes; otherwise it requests all items
+ * @param afterRevision watch only: the caller has all changes up to this revision
+ * @param waitMs watch only: how long the store may wait for a change, in milliseconds
  */
 public record StoreCall(boolean watch, long afterRevision, long waitMs) {
   private static final Pattern AFTER = Pattern.compile("after=(\\d+)");
   private static final Pattern WAIT = Pattern.compile("wait_ms=(\\d+)");
 
-  /** Reads a call from its address; what it leaves out is 0. */
+  /** Parses a request from its URI; a missing number is 0. */
   public static StoreCall of(URI uri) {
     boolean watch = uri.getPath().endsWith("watch");
     String query = String.valueOf(uri.getRawQuery());
--- a/lab/src/main/java/io/moorstage/lab/edge/StoreHeaders.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreHeaders.java
@@ -1,8 +1,8 @@
 package io.moorstage.lab.edge;
 
-/** Headers of the store's answers. */
+/** Headers of the store's responses. */
 public final class StoreHeaders {
-  /** Rises by one each time that the store comes back from an older copy of itself. */
+  /** A number that increases by one each time the store is restored from an older copy. */
   public static final String ERA = "Store-Era";
 
   private StoreHeaders() {}
--- a/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the store answers, and the values that the operator and the targets write to it. */
+/** Writes the store's responses, and the values that the operator and the targets store. */
 public final class StoreJson {
   private static final JsonFactory JSON = new JsonFactory();
   private static final double MS_PER_S = 1_000;
@@ -32,12 +32,16 @@
       body.write(json);
       json.writeEndObject();
     } catch (IOException e) {
-      throw new UncheckedIOException("a writer to memory has failed", e);
+      throw new UncheckedIOException("cannot write JSON to memory", e);
     }
     return text.toString();
   }
 
-  /** Returns the answer that lists all items. */
+  /**
+   * Returns the response that lists all items.
+   *
+   * @param atRevision the store's revision at the time of the response
+   */
   public static String range(List<StoreItem> items, long atRevision) {
     return object(
         json -> {
@@ -47,7 +51,11 @@
         });
   }
 
-  /** Returns the answer that tells of changes. */
+  /**
+   * Returns the response that lists changes.
+   *
+   * @param atRevision the revision up to which the changes are complete
+   */
   public static String events(List<StoreItem> changes, long atRevision) {
     return object(
         json -> {
@@ -97,7 +105,7 @@
         });
   }
 
-  /** Returns an entry that no reader can use: its address is missing and its capacity absurd. */
+  /** Returns a target's entry that readers must reject: no address, and a capacity of -1. */
   public static String unusableTarget(String service) {
     return object(
         json -> {
@@ -106,7 +114,7 @@
         });
   }
 
-  /** Returns the value of an item whose presence says everything. */
+  /** Returns the value of an item that has a key only, such as an evacuation. */
   public static String empty() {
     return object(json -> {});
   }
--- a/lab/src/main/java/io/moorstage/lab/edge/StoreKeys.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreKeys.java
@@ -2,7 +2,7 @@
 
 /** Keys of the store's items. */
 public final class StoreKeys {
-  /** The configuration. */
+  /** Key of the configuration. */
   public static final String CONFIGURATION = "op/config";
 
   private StoreKeys() {}
@@ -17,7 +17,7 @@
     return key.startsWith(target(""));
   }
 
-  /** Returns the key that stands while a zone is evacuated. */
+  /** Returns the key that is present while a zone is evacuated. */
   public static String evacuation(String zone) {
     return "op/evacuate/" + zone;
   }
--- a/lab/src/main/java/io/moorstage/lab/edge/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The words of the users' platform, as its stand-ins speak them: packet heads, the store's calls
- * and bodies, readiness.
+ * The external interface of the users' platform, as the lab's stand-ins implement it: packet
+ * headers, the store's requests and responses, and readiness probes.
  *
- * <p>Owns the platform's names on this side of the wire; {@code build-tools/check-names} lets them
- * stand here and nowhere else in the lab. Written from the platform's pages and not from the
- * adapter, so that a mistake of the adapter can't hide on both sides. Relies on the configuration's
- * types only.
+ * <p>Owns the platform's names on this side of the wire; {@code build-tools/check-names} rejects
+ * them in every other package of the lab. It is written from the platform's documentation and not
+ * from the adapter, so that an error in the adapter is not repeated here, where it would go
+ * undetected. Depends on the configuration's types only.
  */
 package io.moorstage.lab.edge;
--- a/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
@@ -27,8 +27,8 @@
   private long failed;
 
   /** A client writes a packet; whatever else reaches a target was made up on the way. */
-  public synchronized void wrote(String unchangeable) {
-    written.add(unchangeable);
+  public synchronized void wrote(String immutableContent) {
+    written.add(immutableContent);
   }
 
   /** A fault begins or is still there. */
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedClients.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/WatchedClients.java
@@ -18,7 +18,7 @@
 
   @Override
   public void onSend(ByteBuffer packet) {
-    monitor.wrote(Packets.unchangeable(packet));
+    monitor.wrote(Packets.immutableContent(packet));
   }
 
   @Override
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
@@ -69,7 +69,7 @@
   private final class Reports implements TargetListener {
     @Override
     public void onPacket(ByteBuffer packet) {
-      monitor.reached(Packets.unchangeable(packet), start.id());
+      monitor.reached(Packets.immutableContent(packet), start.id());
     }
 
     @Override
--- a/lab/src/main/java/io/moorstage/lab/targets/StandInTarget.java
+++ b/lab/src/main/java/io/moorstage/lab/targets/StandInTarget.java
@@ -118,7 +118,7 @@
       listener.onOpened(packet);
     }
     if (heldPorts.contains(clientPort)) {
-      channel.send(Packets.answer(packet, start.sequence() + 1, responseTo(packet)), egress);
+      channel.send(Packets.response(packet, start.sequence() + 1, responseTo(packet)), egress);
     } else {
       listener.onReturned(packet);
       channel.send(Packets.returned(packet), egress);
--- a/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
+++ b/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
@@ -122,7 +122,7 @@
   }
 
   private void respond(ByteBuffer request, String text) throws IOException {
-    reply(Packets.answer(request, start.sequence() + 1, text));
+    reply(Packets.response(request, start.sequence() + 1, text));
   }
 
   private void awaitBreach(Rule rule) throws InterruptedException {
@@ -182,13 +182,13 @@
     }
     agent.send(request.duplicate(), app);
     receive(agent);
-    reply(Packets.answer(request, 0, "").put(0, (byte) RESET));
+    reply(Packets.response(request, 0, "").put(0, (byte) RESET));
     awaitBreach(Rule.OPEN_FLOW_RESET);
   }
 
   @Test
   void resetOfAFlowThatNoTargetHoldsIsOnlyAFailure() throws Exception {
-    reply(Packets.answer(firstRequest(), 0, "").put(0, (byte) RESET));
+    reply(Packets.response(firstRequest(), 0, "").put(0, (byte) RESET));
     long deadlineMs = System.currentTimeMillis() + TIMEOUT_MS;
     while (monitor.failedCount() == 0 && System.currentTimeMillis() < deadlineMs) {
       Thread.sleep(5);
--- a/lab/src/test/java/io/moorstage/lab/monitor/WatchedTargetTest.java
+++ b/lab/src/test/java/io/moorstage/lab/monitor/WatchedTargetTest.java
@@ -58,7 +58,7 @@
   }
 
   private void write(ByteBuffer packet) throws IOException {
-    monitor.wrote(Packets.unchangeable(packet));
+    monitor.wrote(Packets.immutableContent(packet));
     deliver(packet);
   }
 
@@ -103,7 +103,7 @@
   @Test
   void fieldsThatTheSystemMayUseAreNoChange() throws IOException {
     ByteBuffer open = Packets.open(CLIENT, ROUTE, 0);
-    monitor.wrote(Packets.unchangeable(open));
+    monitor.wrote(Packets.immutableContent(open));
     deliver(Packets.returned(open).putInt(6, 77));
     assertThat(monitor.breaches()).isEmpty();
   }
