--- a/lab/src/main/java/io/moorstage/lab/bench/FlowMemory.java
+++ b/lab/src/main/java/io/moorstage/lab/bench/FlowMemory.java
@@ -7,10 +7,10 @@
 import io.moorstage.lab.LabCommand;
 import java.lang.management.ManagementFactory;
 
-/** Measures the heap that held flows take at a balancer and at an agent, in bytes a flow. */
-@Parameters(commandDescription = "Measure the heap that held flows take")
+/** Measures the heap usage of held flows in a balancer and in an agent, in bytes per flow. */
+@Parameters(commandDescription = "Measure the heap usage of held flows")
 public final class FlowMemory implements LabCommand {
-  /** Flows of one target at its connection limit, and of a busy balancer. */
+  /** Number of flows of one target at its connection limit, and of a busy balancer. */
   private static final int[] HELD_FLOWS = {20_000, 300_000};
 
   @Override
@@ -33,7 +33,7 @@
   }
 
   private static long usedHeap() {
-    // Twice, as the first run may only queue what the second one frees.
+    // Twice, because the first collection may only enqueue references that the second one frees.
     System.gc();
     System.gc();
     return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
@@ -45,9 +45,9 @@
         holder, flows, bytes, (double) bytes / flows);
   }
 
-  private static void require(boolean condition, int value) {
+  private static void require(boolean condition, int heldFlows) {
     if (!condition) {
-      throw new IllegalStateException("holds " + value);
+      throw new IllegalStateException("unexpected number of held flows: " + heldFlows);
     }
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/bench/ForwardingBenchmark.java
+++ b/lab/src/main/java/io/moorstage/lab/bench/ForwardingBenchmark.java
@@ -24,8 +24,9 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
 /**
- * Time of one forwarding decision for a segment of an open flow, with many flows held and asked for
- * in random order. A thousand decisions are timed at once, so that the clock does not count.
+ * Measures the time of one forwarding decision for a segment of an open flow, with many flows held
+ * and accessed in random order. Each invocation makes 1,000 decisions, so that the cost of reading
+ * the clock does not affect the result.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode({Mode.AverageTime, Mode.SampleTime})
@@ -37,7 +38,7 @@
   private static final int DECISIONS = 1000;
   private static final long SEED = 20261202;
 
-  /** Flows held by the balancer. */
+  /** Number of flows that the balancer holds. */
   @Param({"300000"})
   public int heldFlows;
 
@@ -46,7 +47,7 @@
   private Segment[] segments;
   private int next;
 
-  /** Opens the flows. */
+  /** Opens the flows and shuffles their segments. */
   @Setup
   public void fill() {
     balancer = OpenFlows.balancer(heldFlows);
@@ -63,7 +64,7 @@
     }
   }
 
-  /** Segments with data of open flows. */
+  /** Forwards data segments of open flows. */
   @Benchmark
   @OperationsPerInvocation(DECISIONS)
   public void openFlow() {
@@ -73,7 +74,7 @@
     }
   }
 
-  /** Runs the benchmark and counts its allocations. */
+  /** Runs the benchmark with the allocation profiler. */
   public static void main(String[] arguments) throws RunnerException {
     OptionsBuilder options = new OptionsBuilder();
     options.include(ForwardingBenchmark.class.getSimpleName()).addProfiler(GCProfiler.class);
--- a/lab/src/main/java/io/moorstage/lab/bench/OpenFlows.java
+++ b/lab/src/main/java/io/moorstage/lab/bench/OpenFlows.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A balancer and an agent that hold many open flows, for measurements. */
+/** Creates balancers and agents that hold many open flows, for measurements. */
 final class OpenFlows {
   private static final String SERVICE = "tables";
   private static final int TARGETS = 7;
@@ -40,17 +40,17 @@
 
   private OpenFlows() {}
 
-  /** Returns the identity of a flow by its number. */
+  /** Returns the identity of the flow with the given number. */
   static FlowId flow(int number) {
     return new FlowId(FIRST_CLIENT + number, CLIENT_PORT, SERVICE_ADDRESS, SERVICE_PORT);
   }
 
-  /** Returns a segment with data from a flow's client. */
+  /** Returns a data segment from a flow's client. */
   static Segment data(FlowId flow) {
     return new Segment(flow, Segment.Kind.DATA, 0, false, 1_000, 1, DATA_BYTES);
   }
 
-  /** Returns a datagram as long as that segment's. */
+  /** Returns a datagram with the length of a data segment: 32 bytes of header, 100 of data. */
   static ByteBuffer datagram() {
     return ByteBuffer.allocateDirect(SEGMENT_BYTES);
   }
@@ -70,7 +70,7 @@
     return balancer;
   }
 
-  /** Returns an agent that holds open flows, each with an answered request. */
+  /** Returns an agent that holds open flows, each with one completed request. */
   static FlowAgent agent(int flows) {
     FlowAgent agent =
         new FlowAgent(
@@ -79,9 +79,9 @@
     for (int number = 0; number < flows; number++) {
       FlowId flow = flow(number);
       agent.onForwarded(BALANCER, TERMS, opening(flow), datagram, 0);
-      agent.onTargetSegment(answer(flow, Segment.Kind.OPEN_ACCEPTED, 0), datagram, 0);
+      agent.onTargetSegment(response(flow, Segment.Kind.OPEN_ACCEPTED, 0), datagram, 0);
       agent.onForwarded(BALANCER, TERMS, data(flow), datagram, 0);
-      agent.onTargetSegment(answer(flow, Segment.Kind.DATA, DATA_BYTES), datagram, 0);
+      agent.onTargetSegment(response(flow, Segment.Kind.DATA, DATA_BYTES), datagram, 0);
     }
     return agent;
   }
@@ -90,7 +90,7 @@
     return new Segment(flow, Segment.Kind.OPEN, 0, false, 999, 0, 0);
   }
 
-  private static Segment answer(FlowId flow, Segment.Kind kind, int dataBytes) {
+  private static Segment response(FlowId flow, Segment.Kind kind, int dataBytes) {
     return new Segment(flow, kind, 0, false, 1, 1_000, dataBytes);
   }
 
--- a/lab/src/main/java/io/moorstage/lab/bench/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks of the forwarding path: time of a decision, and memory that held flows take. */
+/** Benchmarks of the forwarding path: time per decision, and memory per held flow. */
 package io.moorstage.lab.bench;
