--- a/lab/src/main/java/io/moorstage/lab/ExitCode.java
+++ b/lab/src/main/java/io/moorstage/lab/ExitCode.java
@@ -2,13 +2,13 @@
 
 /** Exit codes of the lab. */
 public final class ExitCode {
-  /** The command ended as asked, and nothing was broken. */
+  /** The command completed and found no violations. */
   public static final int DONE = 0;
 
-  /** The command failed, or has found something broken. */
+  /** The command failed, or found a violation. */
   public static final int FAILED = 1;
 
-  /** The command was not understood. */
+  /** The command line is invalid. */
   public static final int USAGE = 2;
 
   private ExitCode() {}
--- a/lab/src/main/java/io/moorstage/lab/Help.java
+++ b/lab/src/main/java/io/moorstage/lab/Help.java
@@ -2,15 +2,15 @@
 
 import com.beust.jcommander.Parameter;
 
-/** The option that each level of the command line has. */
+/** The help option, which the program and each of its commands accept. */
 final class Help {
   @Parameter(
       names = {"--help", "-h"},
       help = true,
       description = "Show the options and exit codes")
-  private boolean asked;
+  private boolean requested;
 
-  boolean isAsked() {
-    return asked;
+  boolean isRequested() {
+    return requested;
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/Lab.java
+++ b/lab/src/main/java/io/moorstage/lab/Lab.java
@@ -14,13 +14,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Runs one command of the lab; {@link ExitCode} says how it ends. */
+/** Runs one command of the lab; its exit code is one of {@link ExitCode}. */
 public final class Lab {
-  /** A word that can only be an option's name; numbers may be negative. */
+  /** An argument that is an option's name. Negative numbers don't match; they are values. */
   private static final Pattern OPTION = Pattern.compile("--?[A-Za-z].*");
 
   private static final String EXIT_CODES =
-      "Exit codes: 0 done and nothing broken, 1 failed or something broken, 2 wrong usage.";
+      "Exit codes: 0 success, 1 failure or a violation found, 2 invalid usage.";
 
   private final Map<String, LabCommand> commands = new LinkedHashMap<>();
   private final Help help = new Help();
@@ -37,19 +37,19 @@
         (name, command) -> parser.addCommand(name, new Object[] {command, commandHelp}));
   }
 
-  /** Runs the command that the arguments name and ends the process. */
+  /** Runs the command that the arguments name and exits the process. */
   public static void main(String[] arguments) {
     System.exit(new Lab().run(arguments));
   }
 
-  /** Runs one command; returns the exit code. */
+  /** Runs one command and returns its exit code. */
   int run(String... arguments) {
     try {
       parse(arguments);
-      return help.isAsked() || commandHelp.isAsked() ? showHelp() : runCommand();
+      return help.isRequested() || commandHelp.isRequested() ? showHelp() : runCommand();
     } catch (UsageException e) {
       System.err.println("failure=" + e.kind().code() + " detail=\"" + e.getMessage() + '"');
-      System.err.println("usage: moorstage COMMAND [OPTIONS]; moorstage --help names them");
+      System.err.println("usage: moorstage COMMAND [OPTIONS]; moorstage --help lists them");
       return ExitCode.USAGE;
     }
   }
@@ -57,24 +57,24 @@
   private void parse(String... arguments) throws UsageException {
     try {
       parser.parse(arguments);
-      refuseUnknownOptions(arguments);
+      rejectUnknownOptions(arguments);
     } catch (MissingCommandException e) {
       throw new UsageException(UsageException.Kind.UNKNOWN_COMMAND, e.getUnknownCommand());
     } catch (ParameterException e) {
-      refuseUnknownOptions(arguments);
+      rejectUnknownOptions(arguments);
       throw new UsageException(UsageException.Kind.BAD_OPTION, e.getMessage());
     }
   }
 
-  // The parser takes options that it does not know for words without an option's name.
-  private void refuseUnknownOptions(String... arguments) throws UsageException {
+  // The parser accepts unknown options as positional arguments.
+  private void rejectUnknownOptions(String... arguments) throws UsageException {
     JCommander command = parser.getCommands().get(parser.getParsedCommand());
     if (command == null) {
       return;
     }
-    for (String word : arguments) {
-      if (OPTION.matcher(word).matches() && !hasOption(command, word)) {
-        throw new UsageException(UsageException.Kind.UNKNOWN_OPTION, word);
+    for (String argument : arguments) {
+      if (OPTION.matcher(argument).matches() && !hasOption(command, argument)) {
+        throw new UsageException(UsageException.Kind.UNKNOWN_OPTION, argument);
       }
     }
   }
--- a/lab/src/main/java/io/moorstage/lab/UsageException.java
+++ b/lab/src/main/java/io/moorstage/lab/UsageException.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** The lab was called in a way that it does not understand. */
+/** Thrown if the lab's command line is invalid. */
 public final class UsageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with a call. */
+  /** The kind of error in a command line. */
   public enum Kind {
     /** No command is named. */
     NO_COMMAND,
@@ -14,10 +14,10 @@
     UNKNOWN_COMMAND,
     /** The command has no such option. */
     UNKNOWN_OPTION,
-    /** An option is missing, or has a value that it can't have. */
+    /** A required option or argument is missing, or an option has an invalid value. */
     BAD_OPTION;
 
-    /** Returns the name that stands in messages. */
+    /** Returns the name that messages contain. */
     public String code() {
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
@@ -25,13 +25,16 @@
 
   private final Kind kind;
 
-  /** Says what is wrong. */
+  /**
+   * Creates an exception.
+   *
+   * @param detail the argument or the parser's message that describes the error
+   */
   public UsageException(Kind kind, String detail) {
     super(detail);
     this.kind = kind;
   }
 
-  /** Returns what is wrong. */
   public Kind kind() {
     return kind;
   }
--- a/lab/src/main/java/io/moorstage/lab/check/CheckCommand.java
+++ b/lab/src/main/java/io/moorstage/lab/check/CheckCommand.java
@@ -9,13 +9,13 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Compiles a policy file and prints what is wrong with it. */
-@Parameters(commandDescription = "Compile a policy file and print its errors with their places")
+/** Compiles a policy file and prints a summary, the formatted policy, or the errors. */
+@Parameters(commandDescription = "Compile a policy file and print its errors with their positions")
 public final class CheckCommand implements LabCommand {
   @Parameter(description = "FILE", required = true)
   private String name;
 
-  @Parameter(names = "--format", description = "Print the file laid out anew, if it has no errors")
+  @Parameter(names = "--format", description = "Print the formatted policy, if it has no errors")
   private boolean format;
 
   @Override
--- a/lab/src/main/java/io/moorstage/lab/check/PolicyFile.java
+++ b/lab/src/main/java/io/moorstage/lab/check/PolicyFile.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** A policy in a file. */
+/** Reads policies from files and prints their errors. */
 public final class PolicyFile {
   private PolicyFile() {}
 
@@ -17,25 +17,25 @@
    * Reads and compiles a policy.
    *
    * @throws IOException if the file can't be read as UTF-8 text
-   * @throws PolicyException with everything that is wrong with the text
+   * @throws PolicyException if the policy is invalid, with its errors
    */
   public static CompiledPolicy compile(Path file) throws IOException, PolicyException {
     return PolicyCompiler.compile(Files.readString(file));
   }
 
   /**
-   * Reads a policy and lays it out.
+   * Reads a policy and returns it formatted.
    *
    * @throws IOException if the file can't be read as UTF-8 text
-   * @throws PolicyException with every error of syntax
+   * @throws PolicyException if the policy has syntax errors, with these errors
    */
   static String format(Path file) throws IOException, PolicyException {
     return PolicyFormatter.format(Files.readString(file));
   }
 
-  /** Prints each error of a policy with its place, one a line, as compilers do. */
-  public static void printErrors(Path file, PolicyException refusal) {
-    for (PolicyError error : refusal.errors()) {
+  /** Prints the errors of a policy, one per line, with file name and position as compilers do. */
+  public static void printErrors(Path file, PolicyException failure) {
+    for (PolicyError error : failure.errors()) {
       System.err.println(file + ":" + error);
     }
   }
--- a/lab/src/main/java/io/moorstage/lab/check/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/check/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The check of a policy file before anybody uses it.
+ * Validation of a policy file before it is deployed.
  *
- * <p>Owns reading the file and printing what is wrong with it; what a policy means is the policy
- * module's.
+ * <p>Owns reading the file and printing its errors; the language itself is defined by the policy
+ * module.
  */
 package io.moorstage.lab.check;
--- a/lab/src/main/java/io/moorstage/lab/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The lab's command line. The lab runs the real programs on loopback between stand-ins of
- * everything that they meet: for a demonstration, for the fault soak and for tests.
+ * The lab's command line. The lab runs the real programs on loopback, with stand-ins for all
+ * systems that they communicate with: for a demonstration, for the fault soak and for tests.
  *
- * <p>Owns the commands and their exit codes. Relies on one package for each part that surrounds the
- * programs: store, target, client, router, process.
+ * <p>Owns the commands and their exit codes. Each stand-in (store, targets, clients, router) and
+ * the handling of processes has its own package.
  */
 package io.moorstage.lab;
