--- a/lab/src/test/java/io/moorstage/lab/LabTest.java
+++ b/lab/src/test/java/io/moorstage/lab/LabTest.java
@@ -13,30 +13,30 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The lab's command line: what it says, and how it ends. */
+/** Checks the exit codes and the error messages of the lab's command line. */
 class LabTest {
   private static final String POLICY =
       "zones a; service s at 127.0.0.50:5683 { target t { zone a; slots 1; connections 1; } }\n";
 
   @TempDir Path folder;
   private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
-  private final PrintStream before = System.err;
+  private final PrintStream originalErr = System.err;
 
   @BeforeEach
-  void listen() {
+  void captureErrors() {
     System.setErr(new PrintStream(errors, true, StandardCharsets.UTF_8));
   }
 
   @AfterEach
-  void listenNoMore() {
-    System.setErr(before);
+  void restoreErrors() {
+    System.setErr(originalErr);
   }
 
   private int run(String... arguments) {
     return new Lab().run(arguments);
   }
 
-  private void assertRefused(String failure, String... arguments) {
+  private void assertRejected(String failure, String... arguments) {
     assertThat(run(arguments)).isEqualTo(2);
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains("failure=" + failure + " ");
   }
@@ -46,44 +46,44 @@
   }
 
   @Test
-  void unknownCommandIsRefusedByName() {
-    assertRefused("unknown-command", "nonsense");
+  void unknownCommandIsRejectedByName() {
+    assertRejected("unknown-command", "nonsense");
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains("detail=\"nonsense\"");
   }
 
   @Test
-  void callWithoutACommandIsRefused() {
-    assertRefused("no-command");
+  void missingCommandIsRejected() {
+    assertRejected("no-command");
   }
 
   @Test
-  void unknownOptionOfACommandIsRefusedByName() {
-    assertRefused("unknown-option", "demo", "--nonsense");
+  void unknownOptionOfACommandIsRejectedByName() {
+    assertRejected("unknown-option", "demo", "--nonsense");
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains("detail=\"--nonsense\"");
   }
 
   @Test
   void unknownOptionIsNotTakenForTheFileToCheck() {
-    assertRefused("unknown-option", "check", "--nonsense");
+    assertRejected("unknown-option", "check", "--nonsense");
   }
 
   @Test
-  void optionBeforeTheCommandThatIsUnknownIsRefused() {
+  void unknownOptionBeforeTheCommandIsRejected() {
     assertThat(run("--nonsense", "demo", "--help")).isEqualTo(2);
   }
 
   @Test
-  void valueThatAnOptionCannotHaveIsRefused() {
-    assertRefused("bad-option", "soak", "--minutes", "x");
+  void invalidOptionValueIsRejected() {
+    assertRejected("bad-option", "soak", "--minutes", "x");
   }
 
   @Test
-  void checkWithoutAFileIsRefused() {
-    assertRefused("bad-option", "check");
+  void checkWithoutAFileIsRejected() {
+    assertRejected("bad-option", "check");
   }
 
   @Test
-  void helpIsNoFailure() {
+  void helpExitsWithSuccess() {
     assertThat(run("--help")).isEqualTo(0);
     assertThat(run("demo", "--help")).isEqualTo(0);
     assertThat(run("check", "--help")).isEqualTo(0);
@@ -95,14 +95,14 @@
   }
 
   @Test
-  void errorsOfAPolicyAreToldWithTheirPlaces() throws IOException {
+  void errorsOfAPolicyArePrintedWithTheirPositions() throws IOException {
     Path file = file(POLICY.replace("zone a;", "zone b;"));
     assertThat(run("check", file.toString())).isEqualTo(1);
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains(file + ":1:");
   }
 
   @Test
-  void policyThatIsMissingIsAFailure() {
+  void missingPolicyFileIsAFailure() {
     assertThat(run("check", folder.resolve("none").toString())).isEqualTo(1);
     assertThat(errors.toString(StandardCharsets.UTF_8)).contains("failure=check ");
   }
