--- a/lab/src/test/java/io/moorstage/lab/docs/DecisionsPageTest.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/DecisionsPageTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Compares the page of decisions with the code that it describes. */
+/**
+ * Compares DECISIONS.md with the code. It fails if the page names classes, constants, log names or
+ * metrics that no longer exist, or gives a constant another value than the code.
+ */
 final class DecisionsPageTest {
   private static final String FIRST_ROW = "| no. | question |";
 
@@ -35,14 +38,14 @@
   }
 
   @Test
-  void eachConstantHasTheValueThatItsClassGivesIt() {
+  void eachConstantHasTheValueInItsClass() {
     assertThat(table.codeIn("constants")).isNotEmpty();
     for (String constant : table.codeIn("constants")) {
       int dot = constant.indexOf('.');
       String definition = constant.substring(dot + 1);
       assertWithMessage(constant).that(definition).matches("[A-Z][A-Z_]* = .+");
       assertWithMessage(constant)
-          .that(sources.of(constant.substring(0, dot)))
+          .that(sources.sourceOf(constant.substring(0, dot)))
           .containsMatch("static final \\w+ " + definition.replaceAll("([.*+])", "\\\\$1") + ";");
     }
   }
@@ -60,7 +63,7 @@
   }
 
   @Test
-  void eachTimeHasItsUnit() {
+  void eachDurationHasItsUnit() {
     for (String cell : table.column("constants")) {
       assertWithMessage(cell).that(cell).doesNotContainMatch("_MS = [^`]*`(?! ms)");
     }
@@ -75,7 +78,7 @@
   }
 
   @Test
-  void eachDecisionStandsInTheTable() {
+  void eachDecisionIsInTheTable() {
     assertThat(table.codeIn("log")).containsAtLeastElementsIn(decisionNames());
   }
 
--- a/lab/src/test/java/io/moorstage/lab/docs/MetricNames.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/MetricNames.java
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** The names of all metrics, as the pages write them. */
+/** The names of all metrics, as the documentation pages write them. */
 final class MetricNames {
-  /** What each name begins with where metrics are told. */
+  /** Prefix of each name in the output of the metrics endpoint. */
   static final String PREFIX = "moorstage_forwarding_";
 
   /** The counter of decisions; the pages name it with and without its label. */
@@ -17,7 +17,7 @@
 
   private MetricNames() {}
 
-  /** Returns all names without their prefix; decisions with their label. */
+  /** Returns all names without the prefix; the counter of decisions once per label value. */
   static Set<String> withoutPrefix() {
     Set<String> names = new HashSet<>();
     for (Decision decision : Decision.values()) {
--- a/lab/src/test/java/io/moorstage/lab/docs/OperationsPageTest.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/OperationsPageTest.java
@@ -17,15 +17,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Compares the on-call page with the settings, decisions and events of the code. */
+/**
+ * Compares OPERATIONS.md with the settings, decisions, events and metrics of the code. It fails if
+ * the code and the page differ, so that on-call engineers don't work from outdated tables.
+ */
 final class OperationsPageTest {
-  /** How the settings are read: whether for an agent only, by which method, under which key. */
+  /** A call that reads a setting: whether for agents only, the method, and the key. */
   private static final Pattern SETTING =
       Pattern.compile("(agent \\? )?values\\.(\\w+)\\(\"([a-z.-]+)\"\\)");
 
   private static final Pattern METRIC = Pattern.compile(MetricNames.PREFIX + "(\\w+)");
 
-  /** The form that a method of {@code SettingsText} reads, as the page calls it. */
+  /** The page's name of the value format that each method of {@code SettingsText} parses. */
   private static final Map<String, String> FORMS =
       Map.of(
           "text", "text",
@@ -45,12 +48,12 @@
   }
 
   @Test
-  void eachSettingStandsOnThePageWithItsProgramAndForm() {
+  void eachSettingIsOnThePageWithItsProgramAndForm() {
     assertThat(settingsOfPage()).isEqualTo(settingsOfSource());
   }
 
   @Test
-  void eachDecisionStandsInTheTableOfDecisionsOnce() {
+  void eachDecisionIsInTheTableOfDecisionsOnce() {
     List<String> names =
         Arrays.stream(Decision.values()).map(Decision::logName).collect(Collectors.toList());
 
@@ -59,13 +62,13 @@
   }
 
   @Test
-  void eachEventThatIsLoggedStandsInTheTableOfEventsOnce() {
+  void eachLoggedEventIsInTheTableOfEventsOnce() {
     assertThat(PageTable.find(page, "| event |").codeIn("event"))
         .containsExactlyElementsIn(sources.events());
   }
 
   @Test
-  void eachReasonOfAReturnIsExplainedOnce() {
+  void eachReturnReasonIsExplainedOnce() {
     List<String> reasons =
         Arrays.stream(GiveBackReason.values()).map(Enum::name).collect(Collectors.toList());
     String afterGaveBack = page.substring(page.indexOf("`gave-back reason`:"));
@@ -99,7 +102,7 @@
 
   private Map<String, String> settingsOfSource() {
     Map<String, String> settings = new TreeMap<>();
-    Matcher matcher = SETTING.matcher(sources.of("ForwardingSettings"));
+    Matcher matcher = SETTING.matcher(sources.sourceOf("ForwardingSettings"));
     while (matcher.find()) {
       String program = matcher.group(1) == null ? "both" : "agent";
       settings.put(matcher.group(3), program + ", " + FORMS.get(matcher.group(2)));
--- a/lab/src/test/java/io/moorstage/lab/docs/PageTable.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/PageTable.java
@@ -7,15 +7,15 @@
 import java.util.stream.Collectors;
 
 /**
- * A table of a page in Markdown.
+ * A table in a Markdown page.
  *
  * @param headings the names of its columns
- * @param rows its rows, each with one cell for each column
+ * @param rows its rows without headings, each with one cell per column
  */
 record PageTable(List<String> headings, List<List<String>> rows) {
   private static final Pattern CODE = Pattern.compile("`([^`]+)`");
 
-  /** Returns the table of a page whose first row is the given one. */
+  /** Returns the table of a page whose heading row begins with the given text. */
   static PageTable find(String page, String firstRow) {
     List<List<String>> found = new ArrayList<>();
     for (String line : page.substring(page.indexOf(firstRow)).split("\n", -1)) {
@@ -24,7 +24,7 @@
       }
       found.add(cells(line));
     }
-    // The second line is the rule below the headings.
+    // The second line separates the headings from the rows.
     return new PageTable(found.get(0), found.subList(2, found.size()));
   }
 
@@ -42,12 +42,12 @@
     return rows.stream().map(row -> row.get(index)).collect(Collectors.toList());
   }
 
-  /** Returns all that stands as code in a column. */
+  /** Returns all inline code in a column. */
   List<String> codeIn(String heading) {
     return code(String.join(" ", column(heading)));
   }
 
-  /** Returns all that stands as code in a text. */
+  /** Returns all inline code in a text. */
   static List<String> code(String text) {
     return CODE.matcher(text).results().map(PageTable::content).collect(Collectors.toList());
   }
--- a/lab/src/test/java/io/moorstage/lab/docs/PagesTest.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/PagesTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Whatever a page names in backquotes, or links to, exists in the repository. */
+/**
+ * Checks that each name in backquotes and each link on a documentation page refers to something
+ * that exists in the repository. It guards against pages that become outdated when code is renamed.
+ */
 final class PagesTest {
   private static final Path ROOT = Path.of("..");
 
@@ -23,13 +26,13 @@
   private static final Pattern QUOTED = Pattern.compile("`([^`\n]+)`");
   private static final Pattern LINK = Pattern.compile("\\]\\(([^)#]+)(?:#[^)]*)?\\)");
 
-  /** A path from the root; what stands behind it are arguments. */
+  /** A path relative to the root, optionally followed by arguments. */
   private static final Pattern PATH =
       Pattern.compile(
           "(?:\\./)?((?:build-tools|core|deploy|docs|examples|forwarding|journal|lab|platform"
               + "|policy|spec)/[\\w./-]*)(?: .*)?");
 
-  /** A script in the root. */
+  /** A script in the root directory, optionally followed by arguments. */
   private static final Pattern SCRIPT = Pattern.compile("\\./([\\w-]+)(?: .*)?");
 
   private static final Pattern FILE_NAME =
@@ -39,23 +42,23 @@
 
   private static final Pattern MEMBER = Pattern.compile("([A-Z][A-Za-z0-9]+)\\.([A-Za-z]\\w+)");
 
-  /** Names of methods, of tests above all: several words written together. */
+  /** A method name in camel case with at least three words; most of these are tests. */
   private static final Pattern METHOD = Pattern.compile("[a-z]+(?:[A-Z][a-z0-9]*){2,}");
 
   private static final Pattern CONSTANT = Pattern.compile("[A-Z]+(?:_[A-Z]+)+");
 
-  /** A package below io.moorstage, or a setting. */
+  /** A package below io.moorstage, or the key of a setting. */
   private static final Pattern DOTTED = Pattern.compile("[a-z]+(?:\\.[a-z-]+)+");
 
   @TestFactory
-  Stream<DynamicTest> whatAPageNamesExists() throws IOException {
+  Stream<DynamicTest> namesOnPagesExist() throws IOException {
     Repository repository = Repository.read(ROOT);
     return repository.pages().stream()
         .map(page -> DynamicTest.dynamicTest(nameOf(page), () -> verify(repository, page)));
   }
 
   @Test
-  void nameThatDoesNotExistIsFound() throws IOException {
+  void nonexistentNamesAreReported() throws IOException {
     Repository repository = Repository.read(ROOT);
     Path page = ROOT.resolve("README.md");
     String text =
@@ -82,7 +85,7 @@
 
   private static void verify(Repository repository, Path page) throws IOException {
     String text = FENCED.matcher(Files.readString(page)).replaceAll("");
-    assertWithMessage("names in %s without a bearer", nameOf(page))
+    assertWithMessage("names in %s that do not exist", nameOf(page))
         .that(missing(repository, page, text))
         .isEmpty();
   }
@@ -107,10 +110,10 @@
   private static boolean exists(Repository repository, Path page, String name) {
     Matcher path = PATH.matcher(name);
     if (path.matches()) {
-      // Capital letters stand for a name that the reader fills in, what a build makes comes later.
-      boolean isOpen =
+      // Capital letters are a placeholder, and files in target/ exist only after a build.
+      boolean isUnchecked =
           path.group(1).matches(".*/[A-Z]+(/.*)?") || path.group(1).contains("target/");
-      return isOpen || repository.hasPath(page, path.group(1));
+      return isUnchecked || repository.hasPath(page, path.group(1));
     }
     Matcher script = SCRIPT.matcher(name);
     if (script.matches()) {
--- a/lab/src/test/java/io/moorstage/lab/docs/ProductSources.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/ProductSources.java
@@ -16,14 +16,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The sources of the programs, read from the repository that this module is a part of. */
+/** The main sources of the balancer and the agent, read from this repository. */
 final class ProductSources {
-  /** The repository's root, seen from the folder in which Maven runs this module's tests. */
+  /** The repository's root, relative to the directory in which Maven runs this module's tests. */
   private static final Path ROOT = Path.of("..");
 
   private static final List<String> MODULES = List.of("core", "forwarding", "platform");
 
-  /** An event's name, or the two that a condition chooses from, where a line begins. */
+  /** A call that begins a log line, with its event name or the two names of a conditional. */
   private static final Pattern EVENT =
       Pattern.compile(
           "(?:\\.event|begin|logZones)\\(\\s*(?:\\w+ \\? )?\"([a-z-]+)\"(?: : \"([a-z-]+)\")?");
@@ -64,12 +64,12 @@
     return byClass.keySet();
   }
 
-  /** Returns the source of a class, with numbers written without underscores. */
-  String of(String className) {
+  /** Returns the source of a class with underscores removed from numbers; empty if unknown. */
+  String sourceOf(String className) {
     return GROUPED_DIGITS.matcher(byClass.getOrDefault(className, "")).replaceAll("");
   }
 
-  /** Returns the names of all events that are logged beside decisions. */
+  /** Returns the names of all logged events other than decisions. */
   Set<String> events() {
     Set<String> events = new TreeSet<>();
     for (String source : byClass.values()) {
@@ -81,7 +81,7 @@
     return events;
   }
 
-  // The phase of a target is the second half of an event's name.
+  // A name that ends in a hyphen is a prefix, to which the code appends a target's phase.
   private static void addEvents(Set<String> events, MatchResult call) {
     for (int group = 1; group <= call.groupCount(); group++) {
       String name = call.group(group);
--- a/lab/src/test/java/io/moorstage/lab/docs/Repository.java
+++ b/lab/src/test/java/io/moorstage/lab/docs/Repository.java
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** What a page may name: the files of the repository, and the types and words of its sources. */
+/** An index of what pages may refer to: files, and the types and words of the sources. */
 final class Repository {
   private static final Set<String> MODULES =
       Set.of("core", "forwarding", "platform", "policy", "lab", "spec");
@@ -35,8 +35,8 @@
   private final Set<String> importedTypes = new HashSet<>();
   private final Map<String, Set<String>> wordsByType = new HashMap<>();
   private final Set<String> words = new HashSet<>();
-  private final Set<String> model = new HashSet<>();
-  private final StringBuilder settings = new StringBuilder();
+  private final Set<String> modelWords = new HashSet<>();
+  private final StringBuilder sourceText = new StringBuilder();
 
   private Repository(Path root) {
     this.root = root;
@@ -49,7 +49,7 @@
     }
     for (Path file : filesIn(root.resolve("deploy"))) {
       repository.fileNames.add(file.getFileName().toString());
-      repository.settings.append(Files.readString(file)).append('\n');
+      repository.sourceText.append(Files.readString(file)).append('\n');
     }
     return repository;
   }
@@ -60,7 +60,7 @@
     }
   }
 
-  // This test names what must not exist.
+  // PagesTest itself is skipped, since it contains names that must not exist.
   private void addSources(Path sources) throws IOException {
     for (Path file : filesIn(sources)) {
       if (file.endsWith(OWN_FILE)) {
@@ -70,13 +70,15 @@
       folders.add(file.getParent().toString().replace('\\', '/'));
       addWords(Files.readString(file));
       if (file.toString().endsWith(MODEL_SUFFIX)) {
-        WORD.matcher(Files.readString(file)).results().forEach(word -> model.add(word.group()));
+        WORD.matcher(Files.readString(file))
+            .results()
+            .forEach(word -> modelWords.add(word.group()));
       }
     }
   }
 
   private void addWords(String text) {
-    settings.append(text).append('\n');
+    sourceText.append(text).append('\n');
     Set<String> wordsOfFile = new HashSet<>();
     WORD.matcher(text).results().forEach(word -> wordsOfFile.add(word.group()));
     words.addAll(wordsOfFile);
@@ -89,19 +91,21 @@
     IMPORT.matcher(text).results().forEach(type -> importedTypes.add(type.group(1)));
   }
 
-  /** Returns whether there is such a file or folder, seen from the root or from a page. */
+  /** Returns whether a file or directory exists, relative to the root or to a page. */
   boolean hasPath(Path page, String path) {
     return Files.exists(root.resolve(path)) || Files.exists(page.resolveSibling(path));
   }
 
-  /** Returns whether some source or deploy file has this name, wherever it stands. */
+  /** Returns whether a source or deploy file in any directory has this name. */
   boolean hasFileNamed(String name) {
     return fileNames.contains(name);
   }
 
-  /** Returns whether the sources declare the type or import it, or the model has such a name. */
+  /** Returns whether the sources declare or import the type, or the Alloy model contains it. */
   boolean hasType(String name) {
-    return wordsByType.containsKey(name) || importedTypes.contains(name) || model.contains(name);
+    return wordsByType.containsKey(name)
+        || importedTypes.contains(name)
+        || modelWords.contains(name);
   }
 
   boolean hasMember(String type, String member) {
@@ -112,18 +116,18 @@
     return words.contains(word);
   }
 
-  /** Returns whether the sources have such a package, named from below {@code io.moorstage}. */
+  /** Returns whether the sources have a package, named relative to {@code io.moorstage}. */
   boolean hasPackage(String name) {
     String end = "/io/moorstage/" + name.replace('.', '/');
     return folders.stream().anyMatch(folder -> folder.endsWith(end));
   }
 
-  /** Returns whether the text stands in a source or a deploy file, as settings' names do. */
+  /** Returns whether a source or deploy file contains the text, such as the key of a setting. */
   boolean hasText(String text) {
-    return settings.indexOf(text) >= 0;
+    return sourceText.indexOf(text) >= 0;
   }
 
-  /** Returns README, DEVELOPERS and all pages in docs. */
+  /** Returns README.md, DEVELOPERS.md and all Markdown pages in docs. */
   List<Path> pages() throws IOException {
     List<Path> pages = new ArrayList<>();
     pages.add(root.resolve("README.md"));
