--- a/spec/src/test/java/io/moorstage/spec/AlloyModel.java
+++ b/spec/src/test/java/io/moorstage/spec/AlloyModel.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import kodkod.engine.satlab.SATFactory;
 
-/** A parsed Alloy model of the test resources, and the solver that runs its commands. */
+/** An Alloy model parsed from the test resources, whose commands run with the SAT4J solver. */
 final class AlloyModel {
   private static final String DIRECTORY = "/spec/";
   private static final String SOLVER = "sat4j";
@@ -38,9 +38,10 @@
   }
 
   /**
-   * Runs a command.
+   * Solves a command.
    *
-   * @return an instance of a {@code run}, or a counterexample of a {@code check}, if satisfiable
+   * @return the solution; if satisfiable, an instance of a {@code run} or a counterexample of a
+   *     {@code check}
    */
   A4Solution execute(Command command) throws Err {
     A4Options options = new A4Options();
--- a/spec/src/test/java/io/moorstage/spec/ModelCheckTest.java
+++ b/spec/src/test/java/io/moorstage/spec/ModelCheckTest.java
@@ -14,8 +14,8 @@
 
 /**
  * Runs every command of the models. A {@code run} shows that its actions can happen and must have
- * an instance. A {@code check} must hold, except that one whose name begins with "Without" leaves a
- * rule out and must have a counterexample.
+ * an instance. A {@code check} must hold, unless its name begins with "Without": such a check
+ * disables a rule and must have a counterexample, which shows that the rule is necessary.
  */
 final class ModelCheckTest {
   private static final String MUTANT_PREFIX = "Without";
@@ -26,9 +26,9 @@
     return commandsOf("FleetStateExchange.als");
   }
 
-  /** A check that is dropped from the model by mistake is missed here. */
+  /** Fails if a check was removed from the model by mistake. */
   @Test
-  void modelHoldsTheChecksThatProofsRestOn() throws Exception {
+  void modelContainsTheRequiredChecks() throws Exception {
     assertThat(labels("FleetStateExchange.als"))
         .containsAtLeast(
             "InvariantHoldsInitially",
--- a/spec/src/test/resources/spec/FleetStateExchange.als
+++ b/spec/src/test/resources/spec/FleetStateExchange.als
@@ -1,53 +1,54 @@
 /**
- * How balancers learn of the fleet: from the source, by complete readings and by changes, and from each
- * other. It models FleetState (core), and StateKeeper with the exchange between peers (forwarding).
+ * How balancers obtain the fleet's state: from the source, by complete readings and by changes, and from each
+ * other. The model covers FleetState (core), and StateKeeper with the exchange between peers (forwarding).
  *
- * The source's history is fixed, a change at each revision; nodes learn of it in any order, late, again
- * and from whomever. An answer under way is what another node, that stands still, would tell, and a
- * restarted node is another node. A record is a target's id with a revision: the history tells what the
- * source listed by then. Which listing a record of a target that is gone names makes no difference,
- * since targets at one address follow each other. A configuration's version is the revision at which it
- * was accepted. Of an answer of the source that leads up to just the node's revision the code takes all
- * records, as the source may name a revision before it tells of it; here such an answer changes nothing.
+ * The source's history is fixed, with one change at each revision. Nodes receive it in any order, late,
+ * repeatedly and from any node. A response in flight is modeled as the state of another node that does not
+ * change, and a restarted node as another node. A record is a target's id with a revision; the history
+ * determines what the source listed at that revision. It makes no difference which listing the record of a
+ * target that is gone refers to, since targets at one address succeed each other. The version of a
+ * configuration is the revision at which it was accepted. If a response of the source ends at exactly the
+ * node's revision, the code applies all its records, because the source may report a revision before it
+ * delivers that revision's changes; in the model such a response changes nothing.
  *
- * Left out: time (a target that is gone may be forgotten at any moment), a target's other fields,
- * evacuations, the choice of whom to ask, and that the pages of a reading are no snapshot.
+ * Not modeled: time (a target that is gone may be forgotten at any moment), a target's other fields,
+ * evacuations, the choice of the node to query, and that the pages of a reading are not a snapshot.
  */
 module FleetStateExchange
 open util/ordering[Revision] as revisions
 
-/** Each rule can be left out. */
+/** The rules of the exchange. A check can disable each of them. */
 abstract sig Rule {}
 one sig
-  /** Of two records of a target, the one with the higher revision counts. */
+  /** Of two records of a target, the one with the higher revision takes precedence. */
   RecordsByRevision,
-  /** A record of a time up to which a node knows all is no news to it, whatever it holds of the target. */
+  /** A node ignores records up to its own revision, whether or not it holds a record of the target. */
   PastIsNoNews,
-  /** A complete state that is older than the node's is only merged. */
+  /** A complete state that is older than the node's is merged and replaces nothing. */
   LateReadingIsMerged,
-  /** What a complete state does not list is gone. */
+  /** A target that a complete state does not list is gone. */
   UnlistedIsGone,
-  /** A target that a complete state tells to be gone is not listed in it. */
+  /** A target that a complete state records as gone counts as not listed in it. */
   GoneIsUnlisted,
-  /** The target that was listed last stands for its address, not the one that changed last. */
+  /** Of the targets at one address, the one listed last is current, not the one changed last. */
   ListingOrdersStarts,
-  /** A configuration is replaced by one of a higher version only. */
+  /** A configuration is replaced only by one with a higher version. */
   VersionOrdersConfigurations,
-  /** Whoever asks from before what was forgotten gets the whole state, not the changes. */
+  /** A query from a revision before a forgotten change returns the complete state, not the changes. */
   WholeStateAfterForgetting,
-  /** So does whoever asks from between two states that were complete, but not what lies between. */
+  /** So does a query from a revision between two complete states, if the changes between them are missing. */
   WholeStateInGap,
-  /** Whoever takes changes of a peer takes over the peer's gaps. */
+  /** A node that applies a peer's changes also adopts the peer's gaps. */
   GapsArePassedOn,
-  /** A peer's changes are taken only while the node knows what it knew when it asked. */
+  /** A peer's changes are applied only if the node's revision is the same as when it sent the query. */
   ChangesFitTheNode
   extends Rule {}
 sig LeftOut in Rule {}
 
 sig Address {}
-/** One start of a target; the next one at its address is another target. */
+/** One incarnation of a target; the next one at its address is another target. */
 sig Target { address: one Address }
-/** A change at the source, which lists the targets after it; at the first one nothing has been told. */
+/** A change at the source, with the targets listed after it. The first revision precedes all changes. */
 sig Revision { writes, ends: lone Target, listed: set Target }
 sig Configured in Revision {}
 
@@ -55,11 +56,11 @@
 fun after_[r: set Revision]: set Revision { r.^revisions/next }
 fun between[r, s: Revision]: set Revision { after_[r] & s.^revisions/prev }
 fun accepted[r: Revision]: one Revision { revisions/max[first + (Configured & upTo[r])] }
-/** When the target was listed first, or again after its entry had ended. */
+/** The last revision, up to r, at which the target was listed: for the first time, or again after its entry had ended. */
 fun listing[t: Target, r: Revision]: lone Revision { revisions/max[{ q: writes.t & upTo[r] | t not in q.revisions/prev.listed }] }
-/** What a complete reading at a revision tells. */
+/** The records of a complete reading at a revision. */
 fun reading[r: Revision]: Target -> Revision { { t: r.listed, q: Revision | q = revisions/max[writes.t & upTo[r]] } }
-/** The targets that run, each the last one at its address, and have an entry. */
+/** The running targets that are listed, each the most recent one at its address. */
 fun live[r: Revision]: set Target {
   { t: r.listed | no u: address.(t.address) - t | some writes.u & upTo[r] & after_[revisions/max[writes.t & upTo[r]]] }
 }
@@ -70,25 +71,25 @@
     r.listed = r.revisions/prev.listed + r.writes - r.ends
     r.ends in r.revisions/prev.listed and lone r.(writes + ends)
   }
-  // A machine holds one target at a time: once its successor is listed, a target writes no more.
+  // A machine runs one target at a time: a target does not write after its successor is listed.
   all disj t, u: Target | t.address = u.address implies
     no writes.t & after_[revisions/min[writes.u]] or no writes.u & after_[revisions/min[writes.t]]
 }
 
 sig Node {
-  /** The source's revision up to which nothing is missing, and the configuration's version. */
+  /** The source's revision up to which the node's state is complete, and its configuration's version. */
   var at, version: one Revision,
   var held: Target -> lone Revision,
-  /** Revisions after which it may not know all changes: those in gaps, and those before what it forgot. */
+  /** Revisions since which the node may lack changes: those in gaps, and those before a forgotten change. */
   var untold: set Revision
 }
-/** Of some records, those that are not gone. */
+/** The records of targets that are still listed as of the record's revision. */
 fun stillListed[records: Target -> Revision]: Target -> Revision { records & ~listed }
 fun shown[n: Node]: Target -> Revision { stillListed[n.held] }
 
 pred init { Node.at = first and Node.version = first and no held and no untold }
 
-/** Whether a record is news to a node. */
+/** Whether a record is newer than what a node has. */
 pred isNews[n: Node, t: Target, r: Revision] {
   RecordsByRevision in LeftOut or r in after_[some n.held[t] implies n.held[t] else n.at]
   PastIsNoNews in LeftOut or r in after_[n.at]
@@ -105,7 +106,7 @@
   untold' = untold - n -> Revision + n -> untold_
 }
 
-/** A complete state: what it does not list is gone, unless it is older. */
+/** Applies a complete state: targets that it does not list are gone. An older state is only merged. */
 pred replaceBy[n: Node, at_, version_: Revision, news: Target -> Revision] {
   lt[at_, n.at] and LateReadingIsMerged not in LeftOut
     implies goesTo[n, n.at, version_, merged[n, news], n.untold]
@@ -118,7 +119,7 @@
 pred readsSource[n: Node, r: Revision] { r != first and replaceBy[n, r, accepted[r], reading[r]] }
 pred takesState[n, m: Node] { m.at != first and replaceBy[n, m.at, m.version, m.held] }
 
-/** Takes what has changed at a peer since the revision at which the node asked. */
+/** Applies a peer's changes since the revision at which the node sent its query. */
 pred takesChanges[n, m: Node, asked: Revision] {
   asked in upTo[n.at] - first - m.untold
   asked = n.at or ChangesFitTheNode in LeftOut
@@ -127,7 +128,7 @@
       merged[n, m.held & Target -> after_[asked]], n.untold + gaps]
 }
 
-/** Takes the source's changes since the revision at which the node asked. */
+/** Applies the source's changes since the revision at which the node sent its request. */
 pred appliesChanges[n: Node, asked, r: Revision] {
   asked in upTo[n.at] - first and r in after_[asked]
   let window = after_[asked] & upTo[r],
@@ -138,7 +139,7 @@
     goesTo[n, revisions/max[n.at + r], accepted[r], known ++ gone, n.untold]
 }
 
-/** A target that has been gone for long enough is forgotten. */
+/** Removes the record of a target that is gone. The code does so after a retention period. */
 pred forgets[n: Node, t: Target] {
   some n.held[t] and t not in shown[n].Revision
   goesTo[n, n.at, n.version, n.held - t -> Revision,
@@ -154,7 +155,7 @@
 pred step { stutter or anyReading or anyState or anyChangesOfPeer or anyChanges or anyForgetting }
 pred behaviour { init and always step }
 
-/** A state never goes back: no revision falls, and what has ended by its revision is not listed again. */
+/** A state never reverts: no revision decreases, and a target that ended by the node's revision is not listed again. */
 pred recordsNeverGoBack { all n: Node, t: Target | n.(held')[t] in n.held[t].*revisions/next or no n.held[t] }
 pred neverGoesBack {
   recordsNeverGoBack
@@ -170,28 +171,28 @@
     implies lt[n.held[t], n.held[u]]
     else lt[listing[t, n.held[t]], listing[u, n.held[u]]]
 }
-/** A target that is live as of the node's revision stands for its address there. */
+/** A target that is live as of the node's revision is the node's current target at its address. */
 pred liveIsShown {
   all n: Node, t: live[n.at] | t in shown[n].Revision and no u: Target - t | supersedes[n, u, t]
 }
 
-/** Nodes that know all up to the same revision agree, with the source too. */
+/** Nodes that are complete up to the same revision agree with each other and with the source. */
 pred nodesAgree { all n: Node | shown[n] = reading[n.at] and n.version = accepted[n.at] }
 
 pred promise { neverGoesBack and liveIsShown and nodesAgree }
 
-/** Holds in every reachable state and is kept by each step: so the promises hold in runs of any length. */
+/** An inductive invariant: it holds initially and each step preserves it, so the promise holds in runs of any length. */
 pred invariant {
   liveIsShown and nodesAgree
   all n: Node {
     n.held[Target] in upTo[n.at] - first
     all t: n.held.Revision | some writes.t & upTo[n.held[t]]
-    // To a node that asks from a revision that is not excepted, each end since then can be told.
+    // For a query from any revision that is not in untold, the node has a record of each end since then.
     all r: upTo[n.at] - first - n.untold, t: r.listed - n.at.listed | some n.held[t] & after_[r]
   }
 }
 
-// Each step can happen twice on the way, with a listing, an end and a configuration in the history.
+// Each kind of step can happen twice in a run whose history has a listing, an end and a configuration.
 pred lively { no LeftOut and behaviour and some writes and some ends and some Configured }
 pred advances { at' != at }
 run TwoReadings { lively and eventually (anyReading and advances and after eventually (anyReading and advances)) }
@@ -210,8 +211,8 @@
   for 3 but 2 Node, 2 Address, 5 Revision, 2..2 steps
 check PromiseKept { no LeftOut and behaviour implies always promise } for 2 but 1 Address, 3 Revision, 5..5 steps
 
-// Without one of the rules there is a counterexample; the test demands it. Long runs are of some steps only, which
-// the solver finds sooner.
+// With one rule disabled there is a counterexample, which the test requires. Checks with long runs allow only some
+// kinds of steps, because the solver finds their counterexamples faster.
 check WithoutRecordsByRevision { LeftOut = RecordsByRevision + PastIsNoNews and behaviour implies always recordsNeverGoBack }
   for 2 but 1 Address, 4 Revision, 5..5 steps
 check WithoutPastIsNoNews { LeftOut = PastIsNoNews and behaviour implies always promise }
