--- a/spec/src/test/resources/spec/FleetStateExchange.als
+++ b/spec/src/test/resources/spec/FleetStateExchange.als
@@ -1,6 +1,6 @@
 /**
- * How balancers obtain the fleet's state: from the source, by complete readings and by changes, and from each
- * other. The model covers FleetState (core), and StateKeeper with the exchange between peers (forwarding).
+ * How balancers obtain the fleet's state: from the source, as complete states and as changes, and from
+ * each other. The model covers FleetState (core), and StateKeeper with the exchange between peers (forwarding).
  *
  * The source's history is fixed, with one change at each revision. Nodes receive it in any order, late,
  * repeatedly and from any node. A response in flight is modeled as the state of another node that does not
@@ -12,7 +12,7 @@
  * delivers that revision's changes; in the model such a response changes nothing.
  *
  * Not modeled: time (a target that is gone may be forgotten at any moment), a target's other fields,
- * evacuations, the choice of the node to query, and that the pages of a reading are not a snapshot.
+ * evacuations, the choice of the node to query, and that the pages of a complete state do not form a snapshot.
  */
 module FleetStateExchange
 open util/ordering[Revision] as revisions
@@ -58,7 +58,7 @@
 fun accepted[r: Revision]: one Revision { revisions/max[first + (Configured & upTo[r])] }
 /** The last revision, up to r, at which the target was listed: for the first time, or again after its entry had ended. */
 fun listing[t: Target, r: Revision]: lone Revision { revisions/max[{ q: writes.t & upTo[r] | t not in q.revisions/prev.listed }] }
-/** The records of a complete reading at a revision. */
+/** The records of a complete state that is read from the source at a revision. */
 fun reading[r: Revision]: Target -> Revision { { t: r.listed, q: Revision | q = revisions/max[writes.t & upTo[r]] } }
 /** The running targets that are listed, each the most recent one at its address. */
 fun live[r: Revision]: set Target {
@@ -81,76 +81,76 @@
   var at, version: one Revision,
   var held: Target -> lone Revision,
   /** Revisions since which the node may lack changes: those in gaps, and those before a forgotten change. */
-  var untold: set Revision
+  var incompleteSince: set Revision
 }
 /** The records of targets that are still listed as of the record's revision. */
 fun stillListed[records: Target -> Revision]: Target -> Revision { records & ~listed }
 fun shown[n: Node]: Target -> Revision { stillListed[n.held] }
 
-pred init { Node.at = first and Node.version = first and no held and no untold }
+pred init { Node.at = first and Node.version = first and no held and no incompleteSince }
 
 /** Whether a record is newer than what a node has. */
-pred isNews[n: Node, t: Target, r: Revision] {
+pred isNewer[n: Node, t: Target, r: Revision] {
   RecordsByRevision in LeftOut or r in after_[some n.held[t] implies n.held[t] else n.at]
   PastIsNoNews in LeftOut or r in after_[n.at]
 }
-fun merged[n: Node, news: Target -> Revision]: Target -> Revision {
-  n.held ++ { t: Target, r: news[t] | isNews[n, t, r] }
+fun merged[n: Node, received: Target -> Revision]: Target -> Revision {
+  n.held ++ { t: Target, r: received[t] | isNewer[n, t, r] }
 }
 
-pred goesTo[n: Node, at_, version_: Revision, held_: Target -> Revision, untold_: set Revision] {
+pred transitionsTo[n: Node, at_, version_: Revision, held_: Target -> Revision, incompleteSince_: set Revision] {
   at' = at ++ n -> at_
   version' = version ++ n ->
     ((lt[n.version, version_] or VersionOrdersConfigurations in LeftOut) implies version_ else n.version)
   held' = held - n -> Target -> Revision + n -> held_
-  untold' = untold - n -> Revision + n -> untold_
+  incompleteSince' = incompleteSince - n -> Revision + n -> incompleteSince_
 }
 
 /** Applies a complete state: targets that it does not list are gone. An older state is only merged. */
-pred replaceBy[n: Node, at_, version_: Revision, news: Target -> Revision] {
+pred replaceBy[n: Node, at_, version_: Revision, received: Target -> Revision] {
   lt[at_, n.at] and LateReadingIsMerged not in LeftOut
-    implies goesTo[n, n.at, version_, merged[n, news], n.untold]
-    else let known = merged[n, news],
-        told = (GoneIsUnlisted in LeftOut implies news.Revision else stillListed[news].Revision),
-        unlisted = (UnlistedIsGone in LeftOut implies none else stillListed[known].Revision - told) |
-      goesTo[n, at_, version_, known ++ unlisted -> at_,
-        n.untold + (WholeStateInGap in LeftOut implies none else between[n.at, at_])]
+    implies transitionsTo[n, n.at, version_, merged[n, received], n.incompleteSince]
+    else let known = merged[n, received],
+        reported = (GoneIsUnlisted in LeftOut implies received.Revision else stillListed[received].Revision),
+        unlisted = (UnlistedIsGone in LeftOut implies none else stillListed[known].Revision - reported) |
+      transitionsTo[n, at_, version_, known ++ unlisted -> at_,
+        n.incompleteSince + (WholeStateInGap in LeftOut implies none else between[n.at, at_])]
 }
 pred readsSource[n: Node, r: Revision] { r != first and replaceBy[n, r, accepted[r], reading[r]] }
-pred takesState[n, m: Node] { m.at != first and replaceBy[n, m.at, m.version, m.held] }
+pred appliesPeerState[n, m: Node] { m.at != first and replaceBy[n, m.at, m.version, m.held] }
 
 /** Applies a peer's changes since the revision at which the node sent its query. */
-pred takesChanges[n, m: Node, asked: Revision] {
-  asked in upTo[n.at] - first - m.untold
-  asked = n.at or ChangesFitTheNode in LeftOut
-  let gaps = (GapsArePassedOn in LeftOut implies none else m.untold & between[n.at, m.at]) |
-    goesTo[n, revisions/max[n.at + m.at], (m.version in upTo[n.version] implies first else m.version),
-      merged[n, m.held & Target -> after_[asked]], n.untold + gaps]
+pred appliesPeerChanges[n, m: Node, queriedAt: Revision] {
+  queriedAt in upTo[n.at] - first - m.incompleteSince
+  queriedAt = n.at or ChangesFitTheNode in LeftOut
+  let gaps = (GapsArePassedOn in LeftOut implies none else m.incompleteSince & between[n.at, m.at]) |
+    transitionsTo[n, revisions/max[n.at + m.at], (m.version in upTo[n.version] implies first else m.version),
+      merged[n, m.held & Target -> after_[queriedAt]], n.incompleteSince + gaps]
 }
 
 /** Applies the source's changes since the revision at which the node sent its request. */
-pred appliesChanges[n: Node, asked, r: Revision] {
-  asked in upTo[n.at] - first and r in after_[asked]
-  let window = after_[asked] & upTo[r],
+pred appliesChanges[n: Node, queriedAt, r: Revision] {
+  queriedAt in upTo[n.at] - first and r in after_[queriedAt]
+  let window = after_[queriedAt] & upTo[r],
       written = { t: Target, q: revisions/max[writes.t & window] |
-        isNews[n, t, q] or no n.held[t] and PastIsNoNews in LeftOut },
+        isNewer[n, t, q] or no n.held[t] and PastIsNoNews in LeftOut },
       known = n.held ++ written,
       gone = { t: known.Revision, q: revisions/max[ends.t & window] | q in after_[known[t]] } |
-    goesTo[n, revisions/max[n.at + r], accepted[r], known ++ gone, n.untold]
+    transitionsTo[n, revisions/max[n.at + r], accepted[r], known ++ gone, n.incompleteSince]
 }
 
 /** Removes the record of a target that is gone. The code does so after a retention period. */
 pred forgets[n: Node, t: Target] {
   some n.held[t] and t not in shown[n].Revision
-  goesTo[n, n.at, n.version, n.held - t -> Revision,
-    n.untold + (WholeStateAfterForgetting in LeftOut implies none else (n.held[t]).^revisions/prev)]
+  transitionsTo[n, n.at, n.version, n.held - t -> Revision,
+    n.incompleteSince + (WholeStateAfterForgetting in LeftOut implies none else (n.held[t]).^revisions/prev)]
 }
 
-pred stutter { at' = at and version' = version and held' = held and untold' = untold }
+pred stutter { at' = at and version' = version and held' = held and incompleteSince' = incompleteSince }
 pred anyReading { some n: Node, r: Revision | readsSource[n, r] }
-pred anyState { some disj n, m: Node | takesState[n, m] }
-pred anyChangesOfPeer { some disj n, m: Node, r: Revision | takesChanges[n, m, r] }
-pred anyChanges { some n: Node, asked, r: Revision | appliesChanges[n, asked, r] }
+pred anyState { some disj n, m: Node | appliesPeerState[n, m] }
+pred anyChangesOfPeer { some disj n, m: Node, r: Revision | appliesPeerChanges[n, m, r] }
+pred anyChanges { some n: Node, queriedAt, r: Revision | appliesChanges[n, queriedAt, r] }
 pred anyForgetting { some n: Node, t: Target | forgets[n, t] }
 pred step { stutter or anyReading or anyState or anyChangesOfPeer or anyChanges or anyForgetting }
 pred behaviour { init and always step }
@@ -187,8 +187,8 @@
   all n: Node {
     n.held[Target] in upTo[n.at] - first
     all t: n.held.Revision | some writes.t & upTo[n.held[t]]
-    // For a query from any revision that is not in untold, the node has a record of each end since then.
-    all r: upTo[n.at] - first - n.untold, t: r.listed - n.at.listed | some n.held[t] & after_[r]
+    // For a query from any revision that is not in incompleteSince, the node has a record of each end since then.
+    all r: upTo[n.at] - first - n.incompleteSince, t: r.listed - n.at.listed | some n.held[t] & after_[r]
   }
 }
 
