--- a/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
@@ -155,10 +155,10 @@
       return;
     }
     json.writeArrayFieldStart("backends");
-    for (WeightedService part : services) {
+    for (WeightedService backend : services) {
       json.writeStartObject();
-      json.writeStringField("service", part.service());
-      json.writeNumberField("weight", part.weight());
+      json.writeStringField("service", backend.service());
+      json.writeNumberField("weight", backend.weight());
       json.writeEndObject();
     }
     json.writeEndArray();
