--- a/lab/src/main/java/io/moorstage/lab/edge/Readiness.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/Readiness.java
@@ -8,7 +8,7 @@
 public final class Readiness {
   private static final String PATH = "/-/readiness";
 
-  /** Equals the router's probe interval, so that a probe ends before the next one is due. */
+  /** Timeout of connecting and of reading, each as long as the router's probe interval. */
   private static final int CALL_TIMEOUT_MS = 500;
 
   private static final int OK = 200;
--- a/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
+++ b/lab/src/main/java/io/moorstage/lab/edge/StoreJson.java
@@ -105,7 +105,7 @@
         });
   }
 
-  /** Returns a target's entry that readers must reject: no address, and a capacity of -1. */
+  /** Returns a target's entry that no reader can use: no address, and a capacity of -1. */
   public static String unusableTarget(String service) {
     return object(
         json -> {
@@ -114,7 +114,7 @@
         });
   }
 
-  /** Returns the value of an item that has a key only, such as an evacuation. */
+  /** Returns the empty value of an item of which only the presence matters. */
   public static String empty() {
     return object(json -> {});
   }
