--- a/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerFlow.java
@@ -19,10 +19,13 @@
 
   @Nullable private TargetSlot target;
 
-  /** Targets that received the opening segment and returned it or did not respond to it. */
+  /** Targets that did not respond to the opening segment or whose agent gave it back. */
   private final List<TargetSlot> tried = new ArrayList<>(0);
 
-  /** Addresses of targets that returned a segment after the opening: they do not hold the flow. */
+  /**
+   * Addresses of targets whose agent gave back a segment after the opening: they do not hold the
+   * flow.
+   */
   private final List<Integer> nonHolders = new ArrayList<>(0);
 
   /**
@@ -31,7 +34,7 @@
    */
   private boolean confirmed;
 
-  private int unreturnedOpenings;
+  private int openingsNotGivenBack;
 
   private long openedAtMs;
   private long lastUsedMs;
@@ -171,7 +174,8 @@
   }
 
   /**
-   * Records that a target has returned a segment after the opening and so does not hold the flow.
+   * Records that the agent of a target has given back a segment after the opening, so the target
+   * does not hold the flow.
    */
   void addNonHolder(int address) {
     if (!nonHolders.contains(address)) {
@@ -190,25 +194,25 @@
     moveTo(next);
     overridesEjection = newOverridesEjection;
     openedAtMs = nowMs;
-    unreturnedOpenings++;
+    openingsNotGivenBack++;
   }
 
   /** Counts a retransmission of the opening segment that is sent to the same target. */
   void countRetransmission() {
-    unreturnedOpenings++;
+    openingsNotGivenBack++;
   }
 
-  /** Counts an opening segment that an agent has returned. */
-  void countReturnedOpening() {
-    unreturnedOpenings--;
+  /** Counts an opening segment that an agent has given back. */
+  void countOpeningGivenBack() {
+    openingsNotGivenBack--;
   }
 
   /** Returns whether a target may still accept an opening segment that was sent to it. */
-  boolean hasUnreturnedOpenings() {
-    return unreturnedOpenings > 0;
+  boolean hasOpeningsNotGivenBack() {
+    return openingsNotGivenBack > 0;
   }
 
-  /** Returns the targets that returned the opening segment or did not respond to it. */
+  /** Returns the targets that did not respond to the opening or whose agent gave it back. */
   List<TargetSlot> tried() {
     return tried;
   }
@@ -289,8 +293,8 @@
     stage = new Search.Offered(querying.search(), offered);
   }
 
-  /** Records that the target has returned the offered segment. */
-  void markOfferReturned() {
+  /** Records that the agent of the target has given back the offered segment. */
+  void markOfferGivenBack() {
     stage = new Search.Querying(offered().search());
   }
 
@@ -304,7 +308,7 @@
 
   /**
    * Ends the search with the target that has kept the offered segment. It is treated as the holder
-   * unless it returns the segment later.
+   * unless its agent gives the segment back later.
    */
   void markOfferKept() {
     Search.Offered offered = offered();
--- a/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
+++ b/core/src/main/java/io/moorstage/core/balancer/BalancerTables.java
@@ -134,8 +134,8 @@
     // The terms are cached per flow and created again only when they change, to avoid an allocation
     // for every segment.
     ForwardTerms known = flow.terms();
-    // An agent returns a segment that names another service than its target's, as happens after the
-    // address has passed to a target of another service.
+    // An agent gives back a segment that names another service than its target's, as happens after
+    // the address has passed to a target of another service.
     String service = target.record().service();
     boolean isCurrent = known != null && known.configurationVersion() == version;
     if (isCurrent
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -184,13 +184,13 @@
   }
 
   /**
-   * Handles a segment that an agent returned to this balancer.
+   * Handles a segment that an agent gave back to this balancer.
    *
    * @param agentAddress the address of the agent's machine
-   * @param reason why the agent returned the segment
+   * @param reason why the agent gave the segment back
    * @param agentVersion the newest configuration version that the agent has seen in effect
    */
-  public synchronized void onReturned(
+  public synchronized void onGivenBack(
       int agentAddress,
       GiveBackReason reason,
       long agentVersion,
@@ -198,7 +198,7 @@
       ByteBuffer datagram,
       long nowMs) {
     if (segment.kind() == Segment.Kind.OPEN) {
-      opener.onReturned(agentAddress, reason, agentVersion, segment, datagram, nowMs);
+      opener.onGivenBack(agentAddress, reason, agentVersion, segment, datagram, nowMs);
     } else {
       locator.onNotHeld(agentAddress, segment, datagram, nowMs);
     }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Handles a segment of an open flow that an agent returned because its target does not hold the
+   * Handles a segment of an open flow that an agent gave back because its target does not hold the
    * flow.
    */
   void onNotHeld(int agentAddress, Segment segment, ByteBuffer datagram, long nowMs) {
@@ -56,27 +56,27 @@
     Search ended = flow.endedSearch();
     Search search = flow.search();
     if (ended != null) {
-      onLateOfferReturn(ended, datagram, nowMs);
+      onOfferGivenBackLate(ended, datagram, nowMs);
     } else if (search != null) {
-      onReturnDuringSearch(search, agentAddress, nowMs);
+      onGivenBackDuringSearch(search, agentAddress, nowMs);
     } else {
-      onReturnWithoutSearch(flow, agentAddress, segment, datagram, nowMs);
+      onGivenBackWithoutSearch(flow, agentAddress, segment, datagram, nowMs);
     }
   }
 
-  private void onReturnDuringSearch(Search search, int agentAddress, long nowMs) {
+  private void onGivenBackDuringSearch(Search search, int agentAddress, long nowMs) {
     TargetSlot offeredTo = search.flow().offeredTo();
     if (offeredTo != null && offeredTo.address() == agentAddress) {
-      search.flow().markOfferReturned();
+      search.flow().markOfferGivenBack();
       offerNext(search, nowMs);
     }
   }
 
-  private void onReturnWithoutSearch(
+  private void onGivenBackWithoutSearch(
       BalancerFlow flow, int agentAddress, Segment segment, ByteBuffer datagram, long nowMs) {
     TargetSlot target = flow.target();
     if (target != null && target.address() != agentAddress) {
-      // A late return: the flow has been located at another target in the meantime.
+      // Given back late: the flow has been located at another target in the meantime.
       tables.send(flow, target, datagram);
       return;
     }
@@ -92,9 +92,9 @@
     startSearch(flow, segment, datagram, nowMs);
   }
 
-  // An overloaded machine returned the offered segment only after the offer timeout. The search
+  // An overloaded machine gave back the offered segment only after the offer timeout. The search
   // resumes with its remaining candidates, so that the agents are not queried again.
-  private void onLateOfferReturn(Search search, ByteBuffer datagram, long nowMs) {
+  private void onOfferGivenBackLate(Search search, ByteBuffer datagram, long nowMs) {
     BalancerFlow flow = search.flow();
     flow.endSearch();
     TargetSlot target = flow.target();
@@ -169,7 +169,8 @@
   private void onHolderReported(
       Search search, FlowQueryResult result, int targetAddress, long nowMs) {
     BalancerFlow flow = search.flow();
-    // Another balancer may name a target that has already returned a segment of the flow here.
+    // Another balancer may name a target whose agent has already given back a segment of the flow
+    // here.
     boolean isNonHolder = flow.isNonHolder(targetAddress);
     TargetSlot holder = isNonHolder ? null : tables.targetOfAgent(flow, targetAddress);
     if (holder == null) {
--- a/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowOpener.java
@@ -16,9 +16,10 @@
  * Places new flows at targets, retries elsewhere when a target rejects a flow, and holds openings
  * that have to wait. Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>This class handles the events (openings, returned openings, new states, time) and forwards the
- * opening segments. {@link TargetPool} chooses the target, {@link OpeningRetries} decides whether
- * an opening is placed again or rejected, and {@link WaitingOpenings} holds the waiting ones.
+ * <p>This class handles the events (openings, openings given back, new states, time) and forwards
+ * the opening segments. {@link TargetPool} chooses the target, {@link OpeningRetries} decides
+ * whether an opening is placed again or rejected, and {@link WaitingOpenings} holds the waiting
+ * ones.
  */
 final class FlowOpener {
   private final BalancerActions actions;
@@ -155,7 +156,7 @@
   }
 
   private void waitOrReject(BalancerFlow flow, Segment segment, ByteBuffer datagram, long nowMs) {
-    if (flow.hasUnreturnedOpenings()) {
+    if (flow.hasOpeningsNotGivenBack()) {
       // A target may still accept the opening, and a reset could break the open flow.
       flow.clearTried();
       return;
@@ -186,10 +187,10 @@
     actions.reset(segment.flow(), segment.acknowledged());
   }
 
-  // ---- openings returned by agents ----
+  // ---- openings given back by agents ----
 
-  /** Handles an opening segment that an agent returned. */
-  void onReturned(
+  /** Handles an opening segment that an agent gave back. */
+  void onGivenBack(
       int agentAddress,
       GiveBackReason reason,
       long agentVersion,
@@ -198,7 +199,7 @@
       long nowMs) {
     BalancerFlow flow = tables.flow(segment.flow());
     if (flow != null) {
-      flow.countReturnedOpening();
+      flow.countOpeningGivenBack();
     }
     if (reason == GiveBackReason.OLD_CONFIGURATION) {
       removeUnlessOpen(flow);
@@ -229,7 +230,7 @@
 
   // The flow is opened again under the newer configuration.
   private void removeUnlessOpen(@Nullable BalancerFlow flow) {
-    if (flow != null && !flow.hasUnreturnedOpenings() && !flow.hasTargetResponded()) {
+    if (flow != null && !flow.hasOpeningsNotGivenBack() && !flow.hasTargetResponded()) {
       tables.remove(flow);
     }
   }
--- a/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
@@ -11,11 +11,11 @@
  * Decides whether an opening that its first target has not accepted is retried, where, and when it
  * is rejected. Guarded by the lock of {@link FlowBalancer}.
  *
- * <p>Inputs: the reason why an agent returned the opening, or a retransmission from the client; the
- * targets that have been tried; the time of each agent's last report; and the candidates of the
+ * <p>Inputs: the reason why an agent gave the opening back, or a retransmission from the client;
+ * the targets that have been tried; the time of each agent's last report; and the candidates of the
  * service, as of the newest state and of the agents' reports, which arrive every 100 ms to 500 ms.
  *
- * <p>A returned opening is placed at the next target at once, at each candidate once. A
+ * <p>An opening that was given back is placed at the next target at once, at each candidate once. A
  * retransmission goes to the same target if the client has sent a later segment, if the target
  * accepts new flows, is not suspect and its agent has reported since the opening, or if there is no
  * other candidate. Otherwise the target is treated as unresponsive and the retransmission goes to
@@ -23,15 +23,15 @@
  * Rejection}, unless a target that received it may still accept it: a reset could break an open
  * flow.
  *
- * <p>A target that returned an opening gets no new flows for {@code suspicionMs}, or longer if it
- * has left openings without a response before; a cold one gets none for {@value #COLD_PAUSE_MS} ms.
- * A full target is excluded for this flow only.
+ * <p>A target whose agent gave an opening back gets no new flows for {@code suspicionMs}, or longer
+ * if it has left openings without a response before; a cold one gets none for {@value
+ * #COLD_PAUSE_MS} ms. A full target is excluded for this flow only.
  */
 final class OpeningRetries {
   /**
    * How long, in milliseconds, a balancer excludes a cold target that has rejected a flow. The
    * target accepts new flows again within a second; a dozen balancers that each try five times a
-   * second cause some 60 returned openings a second at the agent.
+   * second cause the agent to give back some 60 openings a second.
    */
   private static final int COLD_PAUSE_MS = 200;
 
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Excludes a target from new flows that has returned an opening or not responded to it. A full
-   * target is not excluded from other flows.
+   * Excludes a target from new flows because it did not respond to an opening or its agent gave the
+   * opening back. A full target is not excluded from other flows.
    */
   void exclude(TargetSlot target, GiveBackReason reason, long nowMs) {
     int suspicionMs = settings.suspicionMs();
--- a/core/src/main/java/io/moorstage/core/balancer/Search.java
+++ b/core/src/main/java/io/moorstage/core/balancer/Search.java
@@ -34,12 +34,12 @@
   /** The search waits for responses to queries, or pauses before it queries again. */
   record Querying(Search search) implements Searching {}
 
-  /** A target has been offered a segment and has not returned it so far. */
+  /** A target has been offered a segment, and its agent has not given it back so far. */
   record Offered(Search search, TargetSlot target) implements Searching {}
 
   /**
-   * The target did not return the offered segment in time and is treated as the holder unless it
-   * returns the segment later.
+   * The offered segment was not given back in time. The target is treated as the holder unless its
+   * agent gives the segment back later.
    */
   record KeptOffer(Search search) implements Stage {}
 
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Holds a returned segment and discards those held before. */
+  /** Holds a segment that was given back, and discards those held before. */
   void replaceHeld(ByteBuffer datagram, int maxHeld) {
     heldSegments.clear();
     hold(datagram, maxHeld);
--- a/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
+++ b/core/src/main/java/io/moorstage/core/balancer/UnlistedTargets.java
@@ -25,7 +25,7 @@
  * <p>During an outage of the source, the entries of targets that cannot renew them expire, and the
  * source lists the targets one by one when it is available again. A balancer that starts at that
  * time would send all flows to the few listed targets, while beacons show that the others are
- * running. An agent whose target is leaving returns the openings that it receives.
+ * running. An agent whose target is leaving gives back the openings that it receives.
  */
 final class UnlistedTargets {
   private static final long NEVER = Long.MIN_VALUE / 2;
--- a/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/balancer/WaitingOpenings.java
@@ -14,10 +14,10 @@
  * by the lock of {@link FlowBalancer}.
  *
  * <p>Inputs: the opening segment; the configuration version that an agent has seen in effect, if it
- * returned the opening because this balancer's configuration is older; the time, in milliseconds.
+ * gave the opening back because this balancer's configuration is older; the time, in milliseconds.
  *
  * <p>An opening that no target has rejected waits for a target, up to {@code targetWaitMs}; then
- * its client is sent a reset. An opening that an agent returned because of an old configuration
+ * its client is sent a reset. An opening that an agent gave back because of an old configuration
  * waits for the newer configuration, up to {@value #CONFIGURATION_WAIT_MS} ms; then it is dropped,
  * and the client's next retransmission opens the flow. At most {@value #MAX_WAITING_OPENINGS}
  * openings of both kinds wait.
--- a/core/src/main/java/io/moorstage/core/balancer/package-info.java
+++ b/core/src/main/java/io/moorstage/core/balancer/package-info.java
@@ -6,7 +6,8 @@
  * are milliseconds of a monotonic clock and are passed in by the caller. The flow table and the
  * agent directory are guarded by the lock of {@link io.moorstage.core.balancer.FlowBalancer}. The
  * target is authoritative for the flows that it holds: it returns a segment of a flow that it does
- * not hold, and such a return corrects the balancer's flow table, which is only a hint.
+ * not hold to its agent. The agent gives the segment back to the balancer, which corrects the flow
+ * table: the table is only a hint.
  *
  * <p>{@link io.moorstage.core.balancer.FlowBalancer} is the entry point for all events. {@link
  * io.moorstage.core.balancer.FlowOpener} handles openings with {@link
--- a/core/src/test/java/io/moorstage/core/balancer/BalancerFlowTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/BalancerFlowTest.java
@@ -29,10 +29,10 @@
   }
 
   @Test
-  void searchContinuesWhenAnOfferIsReturned() {
+  void searchContinuesWhenAnOfferIsGivenBack() {
     flow.beginSearch(search);
     flow.offerTo(target);
-    flow.markOfferReturned();
+    flow.markOfferGivenBack();
 
     assertThat(flow.search()).isEqualTo(search);
     assertThat(flow.offeredTo()).isNull();
@@ -63,10 +63,10 @@
   }
 
   @Test
-  void returningOrKeepingAnOfferWithoutAnOfferThrows() {
+  void givingBackOrKeepingAnOfferWithoutAnOfferThrows() {
     flow.beginSearch(search);
 
-    assertThrows(IllegalStateException.class, flow::markOfferReturned);
+    assertThrows(IllegalStateException.class, flow::markOfferGivenBack);
     assertThrows(IllegalStateException.class, flow::markOfferKept);
   }
 
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -47,8 +47,8 @@
     balancer.onClientSegment(segment, Fleet.bytes(segment), nowMs);
   }
 
-  private void returnSegment(int agent, GiveBackReason reason, long version, Segment segment) {
-    balancer.onReturned(agent, reason, version, segment, Fleet.bytes(segment), nowMs);
+  private void giveBack(int agent, GiveBackReason reason, long version, Segment segment) {
+    balancer.onGivenBack(agent, reason, version, segment, Fleet.bytes(segment), nowMs);
   }
 
   private FleetState threeTargets() {
@@ -138,12 +138,12 @@
   }
 
   @Test
-  void openingReturnedByAnAgentOfAnEvacuatedZoneIsPlacedElsewhere() {
+  void openingGivenBackByAnAgentOfAnEvacuatedZoneIsPlacedElsewhere() {
     updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
     assertThat(actions.lastForwardedTo()).isEqualTo(A);
-    returnSegment(A, GiveBackReason.EVACUATED, 1, open);
+    giveBack(A, GiveBackReason.EVACUATED, 1, open);
     assertThat(actions.lastForwardedTo()).isEqualTo(B);
   }
 
@@ -181,7 +181,7 @@
     updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A), Fleet.targetIn("other", B)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    returnSegment(A, GiveBackReason.COLD, 1, open);
+    giveBack(A, GiveBackReason.COLD, 1, open);
     for (int port = 2; port <= 20; port++) {
       sendClientSegment(Fleet.open(Fleet.flow(port), 0));
       assertThat(actions.lastForwardedTo()).isEqualTo(B);
@@ -197,7 +197,7 @@
     updateState(Fleet.state(5, Fleet.targetIn(Fleet.ZONE, A)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    returnSegment(A, GiveBackReason.COLD, 1, open);
+    giveBack(A, GiveBackReason.COLD, 1, open);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
     sendClientSegment(Fleet.open(Fleet.flow(2), 0));
     assertThat(actions.reset).containsExactly(Fleet.flow(1), Fleet.flow(2));
@@ -210,7 +210,7 @@
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
     int first = actions.lastForwardedTo();
-    returnSegment(first, GiveBackReason.LEAVING, 1, open);
+    giveBack(first, GiveBackReason.LEAVING, 1, open);
     assertThat(actions.forwardedTo).hasSize(2);
     assertThat(actions.lastForwardedTo()).isNotEqualTo(first);
   }
@@ -220,7 +220,7 @@
     updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
-    returnSegment(A, GiveBackReason.FULL, 1, open);
+    giveBack(A, GiveBackReason.FULL, 1, open);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
@@ -231,7 +231,7 @@
     sendClientSegment(open);
     nowMs += 200;
     sendClientSegment(Fleet.open(Fleet.flow(1), 1));
-    returnSegment(A, GiveBackReason.FULL, 1, open);
+    giveBack(A, GiveBackReason.FULL, 1, open);
     assertThat(actions.reset).isEmpty();
   }
 
@@ -309,7 +309,7 @@
     updateState(
         Fleet.state(
             7, Fleet.target(B, TargetPhase.READY, 6), Fleet.target(C, TargetPhase.READY, 7)));
-    returnSegment(first, GiveBackReason.FULL, 1, open);
+    giveBack(first, GiveBackReason.FULL, 1, open);
     assertThat(actions.lastForwardedTo()).isNotEqualTo(first);
   }
 
@@ -323,8 +323,8 @@
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
     int first = actions.lastForwardedTo();
-    returnSegment(first, GiveBackReason.FULL, 1, open);
-    returnSegment(actions.lastForwardedTo(), GiveBackReason.FULL, 1, open);
+    giveBack(first, GiveBackReason.FULL, 1, open);
+    giveBack(actions.lastForwardedTo(), GiveBackReason.FULL, 1, open);
     assertThat(actions.forwardedTo).containsExactly(A, B);
   }
 
@@ -353,7 +353,7 @@
       balancer.onQueryResult(agent, flow, FlowQueryResult.UNKNOWN, agent, nowMs);
     }
     for (int offer = 0; offer < 3; offer++) {
-      returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, segment);
+      giveBack(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, segment);
     }
     return List.copyOf(actions.forwardedTo);
   }
@@ -472,10 +472,10 @@
       balancer.onQueryResult(agent, Fleet.flow(1), FlowQueryResult.UNKNOWN, agent, nowMs);
     }
     assertThat(actions.forwardedTo).hasSize(1);
-    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
-    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
+    giveBack(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
+    giveBack(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.forwardedTo).containsExactly(A, B, C);
-    returnSegment(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
+    giveBack(actions.lastForwardedTo(), GiveBackReason.NOT_HELD, 1, data);
     assertThat(actions.reset).containsExactly(Fleet.flow(1));
   }
 
@@ -483,7 +483,7 @@
   // the
   // target that the other one had named before.
   @Test
-  void holderNamedByAnotherBalancerIsIgnoredIfItHasReturnedTheFlow() {
+  void holderNamedByAnotherBalancerIsIgnoredIfItsAgentGaveTheFlowBack() {
     updateState(threeTargets());
     reportAgents(A, B, C);
     Segment data = Fleet.data(Fleet.flow(1), 101, 10);
@@ -493,19 +493,19 @@
     assertThat(actions.forwardedTo).containsExactly(A);
     assertThat(balancer.knownTarget(Fleet.flow(1))).isEqualTo(0);
 
-    returnSegment(A, GiveBackReason.NOT_HELD, 1, data);
+    giveBack(A, GiveBackReason.NOT_HELD, 1, data);
     balancer.onQueryResult(
         OTHER_BALANCER, Fleet.flow(1), FlowQueryResult.KNOWN_ELSEWHERE, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
 
   @Test
-  void openingReturnedForAnOldConfigurationWaitsForTheNewerOne() {
+  void openingGivenBackForAnOldConfigurationWaitsForTheNewerOne() {
     updateState(threeTargets());
     Segment open = Fleet.open(Fleet.flow(1), 0);
     sendClientSegment(open);
     int first = actions.lastForwardedTo();
-    returnSegment(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
+    giveBack(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
     assertThat(actions.caughtUpFrom).containsExactly(first);
     assertThat(actions.forwardedTo).hasSize(1);
     updateState(Fleet.state(8, 2, Fleet.target(A, TargetPhase.READY, 1)));
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
@@ -41,7 +41,7 @@
   private FlowBalancer balancer;
   private long nowMs = 100_000;
   private int answeredQueries;
-  private int returnedOffers;
+  private int givenBackOffers;
 
   private static List<TargetRecord> formerTargets() {
     List<TargetRecord> former = new ArrayList<>();
@@ -122,14 +122,14 @@
     respond(FLOW, agent -> agent == holder ? FlowQueryResult.HELD : FlowQueryResult.UNKNOWN);
   }
 
-  /** Returns each offered segment once, from all targets but the holder. */
-  private void returnOffers(FlowId flow, int holder) {
+  /** Gives back each offered segment once, from the agents of all targets but the holder. */
+  private void giveBackOffers(FlowId flow, int holder) {
     Segment data = Fleet.data(flow, 101, 10);
-    while (returnedOffers < actions.forwardedTo.size()) {
-      int target = actions.forwardedTo.get(returnedOffers);
-      returnedOffers++;
+    while (givenBackOffers < actions.forwardedTo.size()) {
+      int target = actions.forwardedTo.get(givenBackOffers);
+      givenBackOffers++;
       if (target != holder) {
-        balancer.onReturned(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
+        balancer.onGivenBack(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
       }
     }
   }
@@ -141,7 +141,7 @@
   private void runSearch(FlowId flow, int holder) {
     for (int i = 0; i < ALL_TARGETS; i++) {
       respond(flow, agent -> FlowQueryResult.UNKNOWN);
-      returnOffers(flow, holder);
+      giveBackOffers(flow, holder);
       nowMs += Fleet.POLICY.search().pauseMs();
       balancer.onTick(nowMs);
     }
@@ -168,7 +168,7 @@
     assertThat(actions.reset).isEmpty();
   }
 
-  // An agent returns segments that name another service than its target's.
+  // An agent gives back segments that name another service than its target's.
   @Test
   void eachOfferNamesTheServiceOfItsTarget() {
     applyRouteMove();
@@ -189,7 +189,7 @@
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
 
-  // The agent at the address returns segments that name another service than its target's.
+  // The agent at the address gives back segments that name another service than its target's.
   @Test
   void locatedFlowKeepsNamingItsServiceAfterAnotherServiceHasTakenTheAddress() {
     applyRouteMove();
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -31,7 +31,7 @@
   private FlowBalancer balancer;
   private long nowMs = 100_000;
   private int answeredQueries;
-  private int returnedOffers;
+  private int givenBackOffers;
 
   @BeforeEach
   void start() {
@@ -87,14 +87,14 @@
     }
   }
 
-  /** Returns each offered segment once, from all targets but the holder. */
-  private void returnOffers(int holder) {
+  /** Gives back each offered segment once, from the agents of all targets but the holder. */
+  private void giveBackOffers(int holder) {
     Segment data = Fleet.data(FLOW, 101, 10);
-    while (returnedOffers < actions.forwardedTo.size()) {
-      int target = actions.forwardedTo.get(returnedOffers);
-      returnedOffers++;
+    while (givenBackOffers < actions.forwardedTo.size()) {
+      int target = actions.forwardedTo.get(givenBackOffers);
+      givenBackOffers++;
       if (target != holder) {
-        balancer.onReturned(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
+        balancer.onGivenBack(target, GiveBackReason.NOT_HELD, 1, data, Fleet.bytes(data), nowMs);
       }
     }
   }
@@ -192,7 +192,7 @@
     reportAllAgentsExcept(0);
     sendClientData();
     respondToAll(FlowQueryResult.UNLIKELY);
-    returnOffers(0);
+    giveBackOffers(0);
     assertThat(actions.forwardedTo.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
     assertThat(actions.reset).containsExactly(FLOW);
   }
@@ -203,7 +203,7 @@
     reportAllAgentsExcept(0);
     sendClientData();
     respondToAll(FlowQueryResult.UNLIKELY);
-    returnOffers(holder);
+    giveBackOffers(holder);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
     assertThat(actions.lastForwardedTo()).isEqualTo(holder);
@@ -211,33 +211,32 @@
   }
 
   @Test
-  void offersPauseAfterABatchAndContinueUntilAllTargetsHaveReturnedTheSegment() {
+  void offersPauseAfterABatchAndContinueUntilAllAgentsHaveGivenTheSegmentBack() {
     reportAllAgentsExcept(0);
     sendClientData();
     respondToAll(FlowQueryResult.UNKNOWN);
-    returnOffers(0);
+    giveBackOffers(0);
     assertThat(actions.forwardedTo).hasSize(TARGETS / 4);
     for (int i = 0; i < TARGETS; i++) {
       nowMs += Fleet.POLICY.search().pauseMs();
       balancer.onTick(nowMs);
-      returnOffers(0);
+      giveBackOffers(0);
     }
     assertThat(new HashSet<>(actions.forwardedTo)).hasSize(TARGETS);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
-  // Guards against a search that starts over for each offer that an overloaded machine returns
-  // late:
-  // all agents were queried again each time.
+  // Guards against a search that starts over for each offer that an overloaded machine gives back
+  // late: all agents were queried again each time.
   @Test
-  void searchResumesWithoutNewQueriesWhenAnOfferIsReturnedLate() {
+  void searchResumesWithoutNewQueriesWhenAnOfferIsGivenBackLate() {
     reportAllAgentsExcept(0);
     sendClientData();
     respondToAll(FlowQueryResult.UNKNOWN);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
     int queryCount = actions.asked.size();
-    returnOffers(0);
+    giveBackOffers(0);
     assertThat(actions.asked).hasSize(queryCount);
     assertThat(new HashSet<>(actions.forwardedTo).size()).isAtLeast(2);
     assertThat(actions.reset).isEmpty();
@@ -254,7 +253,7 @@
         nowMs += 20;
         balancer.onTick(nowMs);
         respondToAllExcept(unresponsive, FlowQueryResult.UNKNOWN);
-        returnOffers(0);
+        giveBackOffers(0);
       }
     }
     assertThat(actions.forwardedTo.size()).isAtMost(SearchOffers.MAX_SPECULATIVE_OFFERS);
@@ -262,7 +261,7 @@
   }
 
   @Test
-  void targetThatHasReturnedASegmentIsNotOfferedItsRetransmission() {
+  void targetWhoseAgentGaveASegmentBackIsNotOfferedItsRetransmission() {
     int unresponsive = addressesByRank().get(LOW_RANK);
     reportAllAgentsExcept(unresponsive);
     for (int retransmission = 0; retransmission < 3; retransmission++) {
@@ -271,7 +270,7 @@
         nowMs += 20;
         balancer.onTick(nowMs);
         respondToAllExcept(unresponsive, FlowQueryResult.UNKNOWN);
-        returnOffers(0);
+        giveBackOffers(0);
       }
     }
     assertThat(actions.forwardedTo).isNotEmpty();
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -238,9 +238,8 @@
     boolean evacuationsChanged = changes.logEvacuations(before, after);
     readiness.onState(after);
     if (evacuationsChanged) {
-      // Every agent needs the evacuations, so that it returns openings that a balancer with an
-      // older
-      // state forwards to an evacuated zone.
+      // Every agent needs the evacuations, so that it gives back openings that a balancer with an
+      // older state forwards to an evacuated zone.
       beacons.sendChanges(after, after.targets(), nowMs);
     } else if (configurationChanged || !changedTargets.isEmpty()) {
       beacons.sendChanges(after, changedTargets, nowMs);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessageHandler.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerMessageHandler.java
@@ -78,7 +78,7 @@
       onMalformed(agent, NO_SEGMENT, nowMs);
       return;
     }
-    balancer.onReturned(
+    balancer.onGivenBack(
         agent, giveBack.reason(), giveBack.configurationVersion(), segment, datagram, nowMs);
   }
 
--- a/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/peer/PeerMessage.java
@@ -21,7 +21,7 @@
   record Forward(ForwardTerms terms, ByteBuffer datagram) implements PeerMessage {}
 
   /**
-   * A client's segment that an agent returns to the balancer that forwarded it.
+   * A client's segment that an agent gives back to the balancer that forwarded it.
    *
    * @param reason why the agent does not deliver it
    * @param configurationVersion the newest configuration that the agent has seen in effect
--- a/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/peer/PeerMessageCodecTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void decodesAReturnedSegmentWithItsReason() {
+  void decodesASegmentGivenBackWithItsReason() {
     PeerMessage.GiveBack read =
         (PeerMessage.GiveBack)
             encodeAndDecode(
