--- a/core/src/main/java/io/moorstage/core/model/Endpoint.java
+++ b/core/src/main/java/io/moorstage/core/model/Endpoint.java
@@ -1,6 +1,6 @@
 package io.moorstage.core.model;
 
-/** An IPv4 address and UDP port. IPv6 is not supported. */
+/** An IPv4 address and port. IPv6 is not supported. */
 public final class Endpoint implements Comparable<Endpoint> {
   private static final int OCTET_BITS = 8;
   private static final int OCTET_MASK = 0xFF;
