--- a/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
+++ b/core/src/main/java/io/moorstage/core/agent/AgentFlows.java
@@ -40,7 +40,7 @@
     this.log = log;
     this.retention = policy.retention();
     this.startedAtMs = nowMs;
-    this.openings = new PendingOpenings(policy.opening().answerTimeoutMs());
+    this.openings = new PendingOpenings(policy.opening().responseTimeoutMs());
     this.requests = new RequestQueue(policy, this::deliver);
   }
 
--- a/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
+++ b/core/src/main/java/io/moorstage/core/agent/PendingOpenings.java
@@ -13,16 +13,17 @@
  * opening.
  */
 final class PendingOpenings {
-  private final int answerTimeoutMs;
+  private final int responseTimeoutMs;
   private final Deque<AgentFlow> pending = new ArrayDeque<>();
 
   /**
    * Creates an empty queue.
    *
-   * @param answerTimeoutMs the time in which a target has to respond to an opening, in milliseconds
+   * @param responseTimeoutMs the time in which a target has to respond to an opening, in
+   *     milliseconds
    */
-  PendingOpenings(int answerTimeoutMs) {
-    this.answerTimeoutMs = answerTimeoutMs;
+  PendingOpenings(int responseTimeoutMs) {
+    this.responseTimeoutMs = responseTimeoutMs;
   }
 
   /** Adds a flow whose opening is being delivered to the target. */
@@ -33,7 +34,7 @@
   /** Removes and returns the next flow whose opening has timed out, or null if there is none. */
   @Nullable
   AgentFlow pollOverdue(long nowMs) {
-    while (!pending.isEmpty() && nowMs - pending.peek().openedAtMs() >= answerTimeoutMs) {
+    while (!pending.isEmpty() && nowMs - pending.peek().openedAtMs() >= responseTimeoutMs) {
       AgentFlow flow = pending.poll();
       if (flow.unansweredOpening() != null) {
         return flow;
--- a/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
@@ -99,7 +99,7 @@
     TargetSlot slot = tables.slotAt(flow, agent.address());
     query(search, slot == null ? agent : slot, nowMs);
     if (flow.offeredTo() == null) {
-      search.waitUntil(nowMs + settings.answerTimeoutMs());
+      search.waitUntil(nowMs + settings.responseTimeoutMs());
     }
   }
 
@@ -128,7 +128,7 @@
     if (queriesBalancers && search.markBalancersQueried()) {
       actions.queryBalancers(search.flow().id());
     }
-    int waitMs = search.hasAgentsToQuery() ? ROUND_INTERVAL_MS : settings.answerTimeoutMs();
+    int waitMs = search.hasAgentsToQuery() ? ROUND_INTERVAL_MS : settings.responseTimeoutMs();
     search.waitUntil(nowMs + waitMs);
     search.setNextRoundSize(count * ROUND_GROWTH_FACTOR);
   }
--- a/core/src/main/java/io/moorstage/core/settings/SearchSettings.java
+++ b/core/src/main/java/io/moorstage/core/settings/SearchSettings.java
@@ -3,7 +3,7 @@
 /**
  * Times and limits of the search for the target of a flow that a balancer does not know.
  *
- * @param answerTimeoutMs how long a balancer waits for responses to its queries, in milliseconds
+ * @param responseTimeoutMs how long a balancer waits for responses to its queries, in milliseconds
  * @param durationMs how long a search continues while agents do not respond, in milliseconds
  * @param pauseMs how long a search waits before it queries agents again, in milliseconds
  * @param offerTimeoutMs how long a balancer waits for an offered segment to be given back, in
@@ -15,7 +15,7 @@
  *     it counts as unavailable and searches no longer wait for it, in milliseconds
  */
 public record SearchSettings(
-    int answerTimeoutMs,
+    int responseTimeoutMs,
     int durationMs,
     int pauseMs,
     int offerTimeoutMs,
@@ -24,7 +24,7 @@
     int agentTimeoutMs) {
 
   /** A few round trips between zones (about 3 ms) and a tick of 20 ms at each end. */
-  private static final int ANSWER_TIMEOUT_MS = 60;
+  private static final int RESPONSE_TIMEOUT_MS = 60;
 
   /**
    * Until the client's third copy starts a search of its own: the client repeats a segment after
@@ -52,7 +52,7 @@
    */
   public static final SearchSettings STANDARD =
       new SearchSettings(
-          ANSWER_TIMEOUT_MS,
+          RESPONSE_TIMEOUT_MS,
           DURATION_MS,
           PAUSE_MS,
           OFFER_TIMEOUT_MS,
--- a/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
+++ b/core/src/test/java/io/moorstage/core/agent/FlowAgentTest.java
@@ -81,7 +81,7 @@
   @Test
   void openingWithoutAResponseIsGivenBackAndALateResponseIsDropped() {
     forward(Fleet.open(Fleet.flow(1), 0));
-    nowMs += Fleet.POLICY.opening().answerTimeoutMs();
+    nowMs += Fleet.POLICY.opening().responseTimeoutMs();
     agent.onTick(nowMs);
     assertThat(actions.givenBack).containsExactly(GiveBackReason.SILENT);
     receiveFromTarget(Fleet.accepted(Fleet.flow(1)));
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -169,7 +169,7 @@
     reportAllAgentsExcept(0);
     sendClientData();
     respondAsHeldBy(holder, ranked.get(0));
-    runTicks(Fleet.POLICY.search().answerTimeoutMs(), holder, ranked.get(0));
+    runTicks(Fleet.POLICY.search().responseTimeoutMs(), holder, ranked.get(0));
     assertThat(actions.forwardedTo).containsExactly(holder);
   }
 
@@ -284,7 +284,7 @@
     sendClientData();
     respondToAllExcept(holder, FlowQueryResult.UNKNOWN);
     for (int i = 0; i < 3; i++) {
-      nowMs += Fleet.POLICY.search().answerTimeoutMs();
+      nowMs += Fleet.POLICY.search().responseTimeoutMs();
       balancer.onTick(nowMs);
     }
     assertThat(actions.lastForwardedTo()).isNotEqualTo(holder);
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/AgentDaemon.java
@@ -99,7 +99,7 @@
     metrics.gauge(ForwardingGauge.STATE_REVISION, () -> Revision.count(copy.revision()));
     metrics.gauge(ForwardingGauge.STATE_ERA, () -> Revision.era(copy.revision()));
     metrics.gauge(ForwardingGauge.UNUSABLE_ITEMS, source::unusableItems);
-    metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::answersWithoutEra);
+    metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::responsesWithoutEra);
     metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::droppedLines);
   }
 
--- a/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/daemon/BalancerDaemon.java
@@ -138,7 +138,7 @@
     metrics.gauge(ForwardingGauge.STATE_AGE_MS, confirmation::metricAgeMs);
     metrics.gauge(ForwardingGauge.READY_TARGETS, () -> readyTargets(keeper.state()));
     metrics.gauge(ForwardingGauge.UNUSABLE_ITEMS, source::unusableItems);
-    metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::answersWithoutEra);
+    metrics.gauge(ForwardingGauge.ANSWERS_WITHOUT_ERA, source::responsesWithoutEra);
     metrics.gauge(ForwardingGauge.LINES_LEFT_OUT, log::droppedLines);
   }
 
--- a/forwarding/src/main/java/io/moorstage/forwarding/state/StateSource.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/state/StateSource.java
@@ -32,5 +32,5 @@
   long unusableItems();
 
   /** Returns the number of responses so far whose era was missing or could not be read. */
-  long answersWithoutEra();
+  long responsesWithoutEra();
 }
--- a/forwarding/src/test/java/io/moorstage/forwarding/daemon/DaemonsTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/daemon/DaemonsTest.java
@@ -296,7 +296,7 @@
       }
 
       @Override
-      public long answersWithoutEra() {
+      public long responsesWithoutEra() {
         return 0;
       }
     };
--- a/forwarding/src/test/java/io/moorstage/forwarding/source/FirstStateReaderTest.java
+++ b/forwarding/src/test/java/io/moorstage/forwarding/source/FirstStateReaderTest.java
@@ -51,7 +51,7 @@
       }
 
       @Override
-      public long answersWithoutEra() {
+      public long responsesWithoutEra() {
         return 0;
       }
     };
