--- a/core/src/test/java/io/moorstage/core/Fleet.java
+++ b/core/src/test/java/io/moorstage/core/Fleet.java
@@ -149,9 +149,9 @@
     /** The service in the terms of each forwarded segment. */
     public final List<String> forwardedFor = new ArrayList<>();
 
-    public final List<Integer> asked = new ArrayList<>();
+    public final List<Integer> queried = new ArrayList<>();
     public final List<FlowId> reset = new ArrayList<>();
-    public final List<Integer> caughtUpFrom = new ArrayList<>();
+    public final List<Integer> stateFetchedFrom = new ArrayList<>();
 
     /** Number of forwarded segments whose terms override an ejection. */
     public int ejectionOverrides;
@@ -165,7 +165,7 @@
 
     @Override
     public void query(int peerAddress, FlowId flow) {
-      asked.add(peerAddress);
+      queried.add(peerAddress);
     }
 
     @Override
@@ -175,7 +175,7 @@
 
     @Override
     public void queryBalancers(FlowId flow) {
-      otherCalls.add("ask-balancers");
+      otherCalls.add("query-balancers");
     }
 
     @Override
@@ -185,7 +185,7 @@
 
     @Override
     public void fetchState(int peerAddress, long configurationVersion) {
-      caughtUpFrom.add(peerAddress);
+      stateFetchedFrom.add(peerAddress);
     }
 
     /** Returns the address of the agent to which the last segment was forwarded. */
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -400,7 +400,7 @@
     updateState(threeTargets());
     reportAgents(A, B, C);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
-    assertThat(actions.asked).containsExactly(A, B, C);
+    assertThat(actions.queried).containsExactly(A, B, C);
     balancer.onQueryResult(B, Fleet.flow(1), FlowQueryResult.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
@@ -410,7 +410,7 @@
     updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     reportAgents(A, B);
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
-    assertThat(actions.asked).containsExactly(A, B);
+    assertThat(actions.queried).containsExactly(A, B);
     balancer.onQueryResult(B, Fleet.flow(1), FlowQueryResult.HELD, B, nowMs);
     assertThat(actions.forwardedTo).containsExactly(B);
   }
@@ -455,9 +455,9 @@
   void agentThatBecomesActiveDuringASearchIsQueried() {
     updateState(Fleet.state(5, Fleet.target(A, TargetPhase.READY, 1)));
     sendClientSegment(Fleet.data(Fleet.flow(1), 101, 10));
-    assertThat(actions.asked).containsExactly(A);
+    assertThat(actions.queried).containsExactly(A);
     reportAgents(A);
-    assertThat(actions.asked).containsExactly(A, A);
+    assertThat(actions.queried).containsExactly(A, A);
     balancer.onQueryResult(A, Fleet.flow(1), FlowQueryResult.HELD, A, nowMs);
     assertThat(actions.forwardedTo).containsExactly(A);
   }
@@ -506,7 +506,7 @@
     sendClientSegment(open);
     int first = actions.lastForwardedTo();
     giveBack(first, GiveBackReason.OLD_CONFIGURATION, 2, open);
-    assertThat(actions.caughtUpFrom).containsExactly(first);
+    assertThat(actions.stateFetchedFrom).containsExactly(first);
     assertThat(actions.forwardedTo).hasSize(1);
     updateState(Fleet.state(8, 2, Fleet.target(A, TargetPhase.READY, 1)));
     assertThat(actions.forwardedTo).hasSize(2);
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorRouteTest.java
@@ -103,8 +103,8 @@
 
   /** Responds to each query once; queries for which the function returns null are lost. */
   private void respond(FlowId flow, IntFunction<FlowQueryResult> resultOf) {
-    while (answeredQueries < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQueries);
+    while (answeredQueries < actions.queried.size()) {
+      int agent = actions.queried.get(answeredQueries);
       answeredQueries++;
       FlowQueryResult result = resultOf.apply(agent);
       if (result != null) {
@@ -246,8 +246,8 @@
     applyRouteTo(2, SERVICE);
     sendClientData();
     respondToAll(FlowQueryResult.NOT_HELD);
-    assertThat(actions.asked).hasSize(ALL_TARGETS);
-    assertThat(actions.asked).containsNoDuplicates();
+    assertThat(actions.queried).hasSize(ALL_TARGETS);
+    assertThat(actions.queried).containsNoDuplicates();
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
@@ -257,7 +257,7 @@
     sendClientData();
     respondToAll(FlowQueryResult.NOT_HELD);
     for (int i = 0; i < ALL_TARGETS; i++) {
-      assertThat(actions.asked.get(i) < ADDRESS).isEqualTo(i >= TARGETS);
+      assertThat(actions.queried.get(i) < ADDRESS).isEqualTo(i >= TARGETS);
     }
   }
 
@@ -267,7 +267,7 @@
     sendClientData();
     respondAsHeldBy(HOLDER);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
-    assertThat(actions.asked.size()).isAtMost(TARGETS);
+    assertThat(actions.queried.size()).isAtMost(TARGETS);
   }
 
   @Test
@@ -288,7 +288,7 @@
     sendClientData();
     balancer.onQueryResult(OTHER_BALANCER, FLOW, FlowQueryResult.KNOWN_ELSEWHERE, HOLDER, nowMs);
     assertThat(actions.forwardedTo).isEmpty();
-    assertThat(actions.asked).contains(HOLDER);
+    assertThat(actions.queried).contains(HOLDER);
     balancer.onQueryResult(HOLDER, FLOW, FlowQueryResult.HELD, HOLDER, nowMs);
     assertThat(actions.forwardedTo).containsExactly(HOLDER);
   }
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -78,8 +78,8 @@
    * lost.
    */
   private void respondToAllExcept(int unresponsiveAddress, FlowQueryResult result) {
-    while (answeredQueries < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQueries);
+    while (answeredQueries < actions.queried.size()) {
+      int agent = actions.queried.get(answeredQueries);
       answeredQueries++;
       if (agent != unresponsiveAddress) {
         balancer.onQueryResult(agent, FLOW, result, agent, nowMs);
@@ -104,8 +104,8 @@
    * Queries to the unresponsive agent are lost.
    */
   private void respondAsHeldBy(int holder, int unresponsiveAddress) {
-    while (answeredQueries < actions.asked.size()) {
-      int agent = actions.asked.get(answeredQueries);
+    while (answeredQueries < actions.queried.size()) {
+      int agent = actions.queried.get(answeredQueries);
       answeredQueries++;
       if (agent != unresponsiveAddress) {
         FlowQueryResult result = agent == holder ? FlowQueryResult.HELD : FlowQueryResult.NOT_HELD;
@@ -150,7 +150,7 @@
     sendClientData();
     respondAsHeldBy(holder, 0);
     assertThat(actions.forwardedTo).containsExactly(holder);
-    assertThat(actions.asked.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
+    assertThat(actions.queried.size()).isAtMost(SearchQueries.FIRST_ROUND_SIZE);
   }
 
   @Test
@@ -158,7 +158,7 @@
     reportAllAgentsExcept(0);
     sendClientData();
     respondAsHeldBy(0, 0);
-    assertThat(new HashSet<>(actions.asked)).hasSize(TARGETS);
+    assertThat(new HashSet<>(actions.queried)).hasSize(TARGETS);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
@@ -235,9 +235,9 @@
     respondToAll(FlowQueryResult.UNKNOWN);
     nowMs += Fleet.POLICY.search().offerTimeoutMs();
     balancer.onTick(nowMs);
-    int queryCount = actions.asked.size();
+    int queryCount = actions.queried.size();
     giveBackOffers(0);
-    assertThat(actions.asked).hasSize(queryCount);
+    assertThat(actions.queried).hasSize(queryCount);
     assertThat(new HashSet<>(actions.forwardedTo).size()).isAtLeast(2);
     assertThat(actions.reset).isEmpty();
   }
@@ -306,7 +306,7 @@
         new AgentReport(leaving, Fleet.SERVICE, Fleet.ZONE, 0, true, false, true), nowMs);
     sendClientData();
     respondAsHeldBy(0, leaving);
-    assertThat(actions.asked).doesNotContain(leaving);
+    assertThat(actions.queried).doesNotContain(leaving);
     assertThat(actions.reset).containsExactly(FLOW);
   }
 
