--- a/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
@@ -249,8 +249,7 @@
 
   // All agents of the route's services have been queried, and none reported the flow. A target of
   // another service may hold it, so those agents are queried before a segment is offered to a
-  // target
-  // that most likely does not hold the flow.
+  // target that most likely does not hold the flow.
   private void queryOtherServicesOrOffer(Search search, long nowMs) {
     queries.queryOtherServices(search, nowMs);
     if (search.hasNothingPending()) {
--- a/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowBalancerTest.java
@@ -480,8 +480,7 @@
   }
 
   // Guards against two balancers that forward a flow's segments in a loop because each one reports
-  // the
-  // target that the other one had named before.
+  // the target that the other one had named before.
   @Test
   void holderNamedByAnotherBalancerIsIgnoredIfItsAgentGaveTheFlowBack() {
     updateState(threeTargets());
--- a/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
+++ b/core/src/test/java/io/moorstage/core/balancer/FlowLocatorTest.java
@@ -185,8 +185,7 @@
   }
 
   // Guards against a burst of offers after all machines have failed: hundreds of flows were lost,
-  // and
-  // each one caused 60 offers.
+  // and each one caused 60 offers.
   @Test
   void lostFlowIsOfferedToFewTargetsWhereAllHaveRestarted() {
     reportAllAgentsExcept(0);
@@ -294,10 +293,8 @@
   }
 
   // Guards against searches that wait for an agent that has stopped together with its target. After
-  // a
-  // recovery one agent stopped per second, so that no search ended for 6 s and 266 requests
-  // exceeded
-  // their deadline.
+  // a recovery one agent stopped per second, so that no search ended for 6 s and 266 requests
+  // exceeded their deadline.
   @Test
   void searchDoesNotWaitForAnAgentThatStopsAfterItsTarget() {
     int leaving = addressesByRank().get(LOW_RANK);
