--- a/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
+++ b/core/src/main/java/io/moorstage/core/agent/OpeningAdmission.java
@@ -22,8 +22,8 @@
  * is ejected as an outlier; the flow belongs to another service; the balancer uses an older
  * configuration than one already in effect here; the target is leaving; its zone is evacuated; it
  * is cold and at its limit of new flows. Every opening passes through the agent, so its decision
- * binds all balancers: a balancer with stale state gets its opening back and places it again. Hence
- * no packet reaches another service, and no leaving target or evacuated zone gets new flows,
+ * binds all balancers: a balancer with stale state is given its opening back and places it again.
+ * Hence no packet reaches another service, and no leaving target or evacuated zone gets new flows,
  * however late a balancer receives the change.
  */
 final class OpeningAdmission {
@@ -89,8 +89,8 @@
 
   /**
    * Returns the reason to reject an opening, or null if it is admitted. An admitted opening counts
-   * towards the limit of a cold target. An opening that an ejected target gets as its probe counts
-   * as the probe even if a later condition rejects it.
+   * towards the limit of a cold target. An opening that is admitted as the probe of an ejected
+   * target uses up that probe, even if a later condition rejects the opening.
    */
   @Nullable
   GiveBackReason rejectionReason(ForwardTerms terms, long nowMs) {
--- a/core/src/main/java/io/moorstage/core/agent/RequestGate.java
+++ b/core/src/main/java/io/moorstage/core/agent/RequestGate.java
@@ -10,13 +10,14 @@
  * Limits the requests in progress at a target, and orders those that wait. Guarded by the lock of
  * {@link FlowAgent}.
  *
- * <p>A target serves its own queue in order of arrival. After an outage, the late requests that
- * clients have repeated meanwhile would therefore delay all later ones too. The gate keeps only as
+ * <p>A target serves its own queue in order of arrival. After an outage, late requests that their
+ * clients have already repeated would therefore delay all later requests. The gate keeps only as
  * many requests in progress as the target works on, plus {@link #SPARE_REQUESTS}, and queues the
  * others. Requests known to be new go before those that may be retries. In a standing queue the
- * newest request goes first (adaptive LIFO, as in Maurer, "Fail at Scale", ACM Queue 2015). A
- * request that has waited for long gets every other place that becomes free, so that neither old
- * nor new requests starve. After the maximum wait a request is released to the target's own queue.
+ * newest request goes first (adaptive LIFO, as in Maurer, "Fail at Scale", ACM Queue 2015). Every
+ * other place that becomes free goes to a request that has waited for {@code longWaitMs}, if there
+ * is one, so that neither old nor new requests starve. After the maximum wait a request is released
+ * to the target's own queue.
  */
 final class RequestGate {
   /**
@@ -25,7 +26,7 @@
    */
   private static final int SPARE_REQUESTS = 2;
 
-  /** A queue whose oldest request has waited for longer is standing: it does not drain. */
+  /** If its oldest request has waited for longer, a queue is standing: it does not drain. */
   private static final int STANDING_QUEUE_MS = 40;
 
   private final boolean servesNewestFirst;
@@ -71,9 +72,9 @@
   }
 
   /**
-   * Removes and returns a flow whose request has been in progress for too long to count any longer,
-   * or null if there is none. Its response was lost, or it was a retry of a request that already
-   * had its response.
+   * Removes and returns a flow whose request has been in progress for {@code staleAfterMs} or
+   * longer, or null if there is none. Its response was lost, or it was a retry of a request that
+   * already had its response.
    *
    * @param staleAfterMs the time after which a request no longer counts as in progress
    */
@@ -103,7 +104,7 @@
     return null;
   }
 
-  /** Counts one request less as in progress: it has ended at the target, or has become stale. */
+  /** Decrements the requests in progress: one has ended at the target, or has become stale. */
   void removeInProgress() {
     inProgress--;
   }
--- a/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowBalancer.java
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Records an agent's report about its target. If the agent has become active, queries it for the
-   * flows being searched for and retries waiting openings.
+   * Records an agent's report about its target. If the agent has become active, queries it about
+   * the flows that are being searched for, and retries waiting openings.
    *
    * @return whether the agent was unknown or inactive before and is not stopping
    */
--- a/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
+++ b/core/src/main/java/io/moorstage/core/balancer/FlowLocator.java
@@ -137,7 +137,7 @@
     queries.queryFirstRound(search, nowMs);
   }
 
-  /** Queries an agent that has become active for all flows being searched for. */
+  /** Queries an agent that has become active about all flows that are being searched for. */
   void queryAvailableAgent(TargetSlot agent, String service, long nowMs) {
     for (Search search : searches) {
       queries.queryAvailable(search, agent, service, nowMs);
@@ -221,7 +221,7 @@
     }
   }
 
-  /** Advances the searches whose wait for a response, an offer or a pause has expired. */
+  /** Advances the searches whose current wait (for responses, an offer, a pause) has expired. */
   void onTick(long nowMs) {
     for (Search search : new ArrayList<>(searches)) {
       if (search.isDue(nowMs)) {
--- a/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/OpeningRetries.java
@@ -16,10 +16,10 @@
  * service, as of the newest state and of the agents' reports, which arrive every 100 ms to 500 ms.
  *
  * <p>An opening that was given back is placed at the next target at once, at each candidate once. A
- * retransmission goes to the same target if the client has sent a later segment, if the target
- * accepts new flows, is not suspect and its agent has reported since the opening, or if there is no
- * other candidate. Otherwise the target is treated as unresponsive and the retransmission goes to
- * another one. When no candidate is left, the opening is rejected as described by {@link
+ * retransmission goes to the same target in three cases: the client has sent a later segment; the
+ * target accepts new flows, is not suspect, and its agent has reported since the opening; or there
+ * is no other candidate. Otherwise the target is treated as unresponsive and the retransmission
+ * goes to another one. When no candidate is left, the opening is rejected as described by {@link
  * Rejection}, unless a target that received it may still accept it: a reset could break an open
  * flow.
  *
--- a/core/src/main/java/io/moorstage/core/balancer/Search.java
+++ b/core/src/main/java/io/moorstage/core/balancer/Search.java
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Returns the sequence number up to which the client has acknowledged the target's data. A reset
-   * carries it.
+   * Returns the sequence number up to which the client has acknowledged the target's data. It is
+   * sent in a reset.
    */
   int acknowledged() {
     return acknowledged;
@@ -97,7 +97,7 @@
     return startedAtMs;
   }
 
-  /** Sets the end of the wait for responses or for the return of an offer, or of a pause. */
+  /** Sets the end of the current wait: for responses, for an offer to be given back, or a pause. */
   void waitUntil(long newDeadlineMs) {
     deadlineMs = newDeadlineMs;
   }
--- a/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
+++ b/core/src/main/java/io/moorstage/core/balancer/SearchQueries.java
@@ -16,12 +16,13 @@
  * #ROUND_INTERVAL_MS} ms or as soon as all have responded. An unresponsive agent is queried, but
  * the search does not wait for it. The other balancers are queried with the second round, or with
  * the first if that covers all agents. Once the agents of the route's services have been queried,
- * those of all other services are. Agents that have not responded are queried again after each
- * pause of the search, and at once when they become active.
+ * those of all other services are queried. Agents that have not responded are queried again after
+ * each pause of the search, and at once when they become active.
  *
- * <p>The cost of locating a flow therefore does not grow with the service. A flow is not declared
- * lost while a node may know it: the route may have had another service before this balancer
- * received its first configuration.
+ * <p>The cost of locating a flow therefore does not grow with the number of the service's targets.
+ * Agents of other services are queried because the route may have had another service before this
+ * balancer received its first configuration, and a flow is not declared lost while a node may know
+ * it.
  */
 final class SearchQueries {
   /**
@@ -103,7 +104,10 @@
     }
   }
 
-  /** Queries the agent of a target that a peer named as the holder, if it was not listed before. */
+  /**
+   * Queries the agent of a target that a peer named as the holder, unless this search already has
+   * it.
+   */
   void queryNamed(Search search, TargetSlot named, long nowMs) {
     if (search.addLeastLikely(named.address())) {
       query(search, named, nowMs);
--- a/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
+++ b/core/src/main/java/io/moorstage/core/placement/TargetChoice.java
@@ -23,15 +23,15 @@
  *
  * <p>Comparing two candidates balances the load nearly as well as comparing all (Mitzenmacher,
  * 2001). Since the two depend only on the flow, the zone and the set of candidates, a balancer that
- * has lost its flow table finds the target of a flow among a few. Without the preference for the
- * own zone, a day's credit was 0.006 lower (mean of three days, one run each), which is close to
- * the variation between such runs.
+ * has lost its flow table has to consider only a few targets to locate a flow. Without the
+ * preference for the own zone, a day's credit was 0.006 lower (mean of three days, one run each),
+ * which is close to the variation between such runs.
  */
 final class TargetChoice {
   /** An agent reports at least every 500 ms: its load is stale when three reports are missing. */
   private static final int REPORT_VALID_MS = 1_500;
 
-  /** A report is never as young as this, so load reports are not used. */
+  /** With this validity every report counts as stale, so load reports are not used. */
   private static final int REPORTS_IGNORED_MS = -1;
 
   /**
