--- a/lab/src/main/java/io/moorstage/lab/demo/Demo.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/Demo.java
@@ -39,7 +39,7 @@
   private static final long SEED = 1;
 
   private final RuleMonitor monitor = new RuleMonitor();
-  private final DemoClients seen = new DemoClients(monitor);
+  private final DemoClientListener seen = new DemoClientListener(monitor);
   private final DemoFleet fleet;
   private final DemoTraffic traffic;
   private final Router router;
@@ -95,7 +95,7 @@
     long served = monitor.servedCount() - servedBeforeCheck;
     // Each new flow asks at least once.
     if (served < CHECK_S * DemoTraffic.FLOWS_PER_S) {
-      monitor.breach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_S + " s");
+      monitor.recordBreach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_S + " s");
     }
     fleet.checkProcesses();
     traffic.stop();
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoClients.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoClientListener.java
@@ -1,15 +1,15 @@
 package io.moorstage.lab.demo;
 
 import io.moorstage.lab.client.ClientFlow;
+import io.moorstage.lab.monitor.MonitoringClientListener;
 import io.moorstage.lab.monitor.RuleMonitor;
-import io.moorstage.lab.monitor.WatchedClients;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
 /** Counts what clients send and how long answers take, beside what the monitor judges. */
-final class DemoClients extends WatchedClients {
+final class DemoClientListener extends MonitoringClientListener {
   /** A minute; requests end at their deadline, long before. */
   private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(1);
 
@@ -19,7 +19,7 @@
   private final AtomicLong unopened = new AtomicLong();
   private final Histogram latenciesUs = new ConcurrentHistogram(MAX_LATENCY_US, DIGITS);
 
-  DemoClients(RuleMonitor monitor) {
+  DemoClientListener(RuleMonitor monitor) {
     super(monitor);
   }
 
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
@@ -3,7 +3,7 @@
 import io.moorstage.core.state.ForwardingRoute;
 import io.moorstage.lab.edge.StoreJson;
 import io.moorstage.lab.edge.StoreKeys;
-import io.moorstage.lab.monitor.RouteRules;
+import io.moorstage.lab.monitor.ExpectedRoutes;
 import io.moorstage.lab.monitor.Rule;
 import io.moorstage.lab.monitor.RuleMonitor;
 import io.moorstage.lab.monitor.WatchedTarget;
@@ -110,13 +110,13 @@
 
   /** Kills a balancer, which stays away. */
   void kill(String balancer) throws InterruptedException {
-    monitor.trouble(System.currentTimeMillis());
+    monitor.recordFault(System.currentTimeMillis());
     processes.remove(balancer).destroyForcibly().waitFor();
   }
 
   /** Says in the store that a target is leaving. */
   void drain(WatchedTarget target) {
-    target.takesNoneSince(System.currentTimeMillis());
+    target.setNoNewFlowsSince(System.currentTimeMillis());
     store.put(StoreKeys.target(target.start().id()), target.start().entry(true));
   }
 
@@ -124,7 +124,7 @@
   void checkProcesses() {
     for (Map.Entry<String, Process> entry : processes.entrySet()) {
       if (!entry.getValue().isAlive()) {
-        monitor.breach(Rule.ENDED_BY_ITSELF, entry.getKey());
+        monitor.recordBreach(Rule.ENDED_BY_ITSELF, entry.getKey());
       }
     }
   }
@@ -139,9 +139,9 @@
   }
 
   /** Routes that stay as they are. */
-  private record FixedRoutes(Deployment deployment) implements RouteRules {
+  private record FixedRoutes(Deployment deployment) implements ExpectedRoutes {
     @Override
-    public boolean mayTake(int address, String service) {
+    public boolean mayReceiveFlows(int address, String service) {
       for (ForwardingRoute route : deployment.configuration().routes()) {
         if (route.address() == address && route.hasService(service)) {
           return true;
@@ -151,7 +151,7 @@
     }
 
     @Override
-    public long droppedSinceMs(int address, String service) {
+    public long removedSinceMs(int address, String service) {
       return Long.MAX_VALUE;
     }
   }
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoReport.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoReport.java
@@ -14,7 +14,7 @@
 
   private DemoReport() {}
 
-  static String progress(int second, DemoClients seen, RuleMonitor monitor, String event) {
+  static String progress(int second, DemoClientListener seen, RuleMonitor monitor, String event) {
     return String.format(
         "t=%2ds sent=%d served=%d failed_flows=%d broken=%d %s",
         second,
@@ -27,7 +27,10 @@
 
   /** Returns the table at the end. */
   static String table(
-      DemoClients seen, RuleMonitor monitor, List<WatchedTarget> targets, WatchedTarget leaving) {
+      DemoClientListener seen,
+      RuleMonitor monitor,
+      List<WatchedTarget> targets,
+      WatchedTarget leaving) {
     StringBuilder table = new StringBuilder(System.lineSeparator());
     row(table, "requests sent", Long.toString(seen.sentCount()));
     row(table, "requests served", Long.toString(monitor.servedCount()));
@@ -42,7 +45,7 @@
     String late =
         String.format(
             "openings at %s after %d s of draining",
-            leaving.start().id(), RuleMonitor.IN_FORCE_WITHIN_MS / MS_PER_S);
+            leaving.start().id(), RuleMonitor.PROPAGATION_LIMIT_MS / MS_PER_S);
     row(table, late, Long.toString(leaving.lateOpeningCount()));
     row(table, "promises broken", Integer.toString(monitor.breaches().size()));
     return table.toString();
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedClients.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/MonitoringClientListener.java
@@ -7,28 +7,28 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 
-/** Reports to the monitor what clients write and see. */
-public class WatchedClients implements ClientListener {
+/** Reports the packets, responses and failures of clients to the monitor. */
+public class MonitoringClientListener implements ClientListener {
   private final RuleMonitor monitor;
 
-  /** Creates reports to a monitor. */
-  public WatchedClients(RuleMonitor monitor) {
+  /** Creates a listener that reports to a monitor. */
+  public MonitoringClientListener(RuleMonitor monitor) {
     this.monitor = monitor;
   }
 
   @Override
   public void onSend(ByteBuffer packet) {
-    monitor.wrote(Packets.unchangeable(packet));
+    monitor.recordSentPacket(Packets.unchangeable(packet));
   }
 
   @Override
   public void onServed(long tookNs) {
-    monitor.served();
+    monitor.recordServedRequest();
   }
 
   @Override
   public void onFailed(ClientFlow flow) {
-    monitor.failed();
+    monitor.recordFailedFlow();
   }
 
   @Override
@@ -36,22 +36,23 @@
     Optional<StandInTarget> target = flow.target();
     if (target.isPresent() && target.get().holds(flow.port())) {
       String detail = "port " + flow.port() + " at " + target.get().start().id();
-      monitor.breach(Rule.OPEN_FLOW_RESET, detail);
+      monitor.recordBreach(Rule.OPEN_FLOW_RESET, detail);
     }
   }
 
   @Override
   public void onUnknownAcceptance(ClientFlow flow) {
-    monitor.breach(Rule.FOREIGN_PACKET, "acceptance of no target, port " + flow.port());
+    monitor.recordBreach(
+        Rule.FOREIGN_PACKET, "acceptance that no target has sent, port " + flow.port());
   }
 
   @Override
   public void onForeignResponse(ClientFlow flow, String text) {
-    monitor.breach(Rule.FOREIGN_ANSWER, "port " + flow.port() + " got " + text);
+    monitor.recordBreach(Rule.FOREIGN_ANSWER, "port " + flow.port() + " got " + text);
   }
 
   @Override
   public void onError(Exception cause) {
-    monitor.breach(Rule.HARNESS, "clients: " + cause);
+    monitor.recordBreach(Rule.HARNESS, "clients: " + cause);
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/monitor/Rule.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/Rule.java
@@ -1,27 +1,27 @@
 package io.moorstage.lab.monitor;
 
-/** What can be broken; docs/SOAK.md maps each to the platform's rule. */
+/** The rules that a fleet can break; docs/SOAK.md maps each to the platform's rule. */
 public enum Rule {
-  /** A target gets a packet that no client has written so. */
+  /** A target receives a packet that no client has sent in this form. */
   CHANGED_PACKET,
-  /** A flow opens at a target of another service than its route's. */
+  /** A flow opens at a target of a service that its route does not include. */
   WRONG_SERVICE,
-  /** A request runs at a second target, or again. */
+  /** A request runs at a second target, or a second time at the same target. */
   RAN_TWICE,
-  /** A client gets an answer to another request, or from another target. */
+  /** A client receives a response to another request, or from another target. */
   FOREIGN_ANSWER,
-  /** A client gets an acceptance that no target has written. */
+  /** A client receives an acceptance that no target has sent. */
   FOREIGN_PACKET,
-  /** A client gets a reset while its flow's target lives and holds the flow. */
+  /** A client receives a reset although its flow's target is alive and holds the flow. */
   OPEN_FLOW_RESET,
-  /** A flow opens at a target that has long been leaving, or in a zone long evacuated. */
+  /** A flow opens at a target too long after it began to drain or its zone was evacuated. */
   LATE_OPENING,
-  /** A flow opens of a route that has long been dropped. */
+  /** A flow opens too long after its route was removed or moved to another service. */
   OLD_CONFIGURATION,
-  /** After the faults have ended, too little is served. */
+  /** After the faults have ended, too few requests are served. */
   NO_RECOVERY,
-  /** A process has ended without having been told to. */
+  /** A process has ended although the harness did not stop it. */
   ENDED_BY_ITSELF,
-  /** The harness itself has failed, so that nothing that it says counts. */
+  /** The harness itself has failed, which makes the results of the run invalid. */
   HARNESS
 }
--- a/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
@@ -8,89 +8,105 @@
 import java.util.Set;
 
 /**
- * What must hold, judged by what clients, targets and the operator see. The names of the platform's
- * rules stand in docs/SOAK.md. Thread-safe.
+ * Checks the {@linkplain Rule rules} of a run by the events that clients, targets and the operator
+ * report. docs/SOAK.md lists the corresponding rules of the platform. Thread-safe.
  */
 public final class RuleMonitor {
-  /** The bounds of a leaving target, an evacuation and a configuration, after the last trouble. */
-  public static final int IN_FORCE_WITHIN_MS = 5_000;
+  /**
+   * The time within which a drain, an evacuation or a configuration must take effect everywhere,
+   * measured from the change or from the last fault, whichever is later.
+   */
+  public static final int PROPAGATION_LIMIT_MS = 5_000;
 
-  /** One fault can break a rule for every flow; the first ones tell enough. */
+  /** One fault can break a rule for every flow; the first breaches are enough to diagnose it. */
   private static final int MAX_BREACHES = 100;
 
-  private final Set<String> written = new HashSet<>();
-  private final Map<Long, String> runs = new HashMap<>();
+  private final Set<String> sentPackets = new HashSet<>();
+  private final Map<Long, String> targetsByRequest = new HashMap<>();
   private final List<String> breaches = new ArrayList<>();
-  private long troubleUntilMs;
-  private long troubles;
+  private long lastFaultMs;
+  private long faults;
   private long served;
   private long failed;
 
-  /** A client writes a packet; whatever else reaches a target was made up on the way. */
-  public synchronized void wrote(String unchangeable) {
-    written.add(unchangeable);
+  /**
+   * Records a packet that a client sends. A packet that reaches a target without having been
+   * recorded here was changed or made up on the way.
+   *
+   * @param immutableFields the packet without the fields that the fleet may change
+   */
+  public synchronized void recordSentPacket(String immutableFields) {
+    sentPackets.add(immutableFields);
   }
 
-  /** A fault begins or is still there. */
-  public synchronized void trouble(long nowMs) {
-    troubles++;
-    troubleUntilMs = Math.max(troubleUntilMs, nowMs);
+  /**
+   * Records a fault, or the end of one.
+   *
+   * @param untilMs the time up to which the fault is present, in milliseconds since the epoch
+   */
+  public synchronized void recordFault(long untilMs) {
+    faults++;
+    lastFaultMs = Math.max(lastFaultMs, untilMs);
   }
 
-  /** Returns whether something that was acknowledged at some time must be in force by now. */
-  public synchronized boolean mustBeInForce(long acknowledgedAtMs, long nowMs) {
-    return nowMs - Math.max(acknowledgedAtMs, troubleUntilMs) > IN_FORCE_WITHIN_MS;
+  /** Returns whether a change that was acknowledged at some time must have taken effect by now. */
+  public synchronized boolean mustBeEffective(long acknowledgedAtMs, long nowMs) {
+    return nowMs - Math.max(acknowledgedAtMs, lastFaultMs) > PROPAGATION_LIMIT_MS;
   }
 
-  /** A packet reaches a target. */
-  public synchronized void reached(String packet, String target) {
-    if (!written.contains(packet)) {
-      breach(Rule.CHANGED_PACKET, "at " + target);
+  /**
+   * Records a packet that a target receives, and a breach if no client has sent it.
+   *
+   * @param immutableFields the packet without the fields that the fleet may change
+   */
+  public synchronized void recordReceivedPacket(String immutableFields, String target) {
+    if (!sentPackets.contains(immutableFields)) {
+      recordBreach(Rule.CHANGED_PACKET, "at " + target);
     }
   }
 
-  /** A target runs a request. */
-  public synchronized void ran(long request, String target) {
-    String before = runs.putIfAbsent(request, target);
-    if (before != null) {
-      breach(Rule.RAN_TWICE, "request " + request + " at " + before + " and " + target);
+  /** Records that a target runs a request, and a breach if the request has run before. */
+  public synchronized void recordRun(long request, String target) {
+    String previous = targetsByRequest.putIfAbsent(request, target);
+    if (previous != null) {
+      recordBreach(Rule.RAN_TWICE, "request " + request + " at " + previous + " and " + target);
     }
   }
 
-  /** A client got the answer to its request. */
-  public synchronized void served() {
+  /** Records that a client received the response to its request. */
+  public synchronized void recordServedRequest() {
     served++;
   }
 
-  /** A flow of a client ended before its requests were served. */
-  public synchronized void failed() {
+  /** Records that a client's flow ended before its requests were served. */
+  public synchronized void recordFailedFlow() {
     failed++;
   }
 
-  /** A rule was broken. */
-  public synchronized void breach(Rule rule, String detail) {
+  /** Records that a rule was broken. */
+  public synchronized void recordBreach(Rule rule, String detail) {
     if (breaches.size() < MAX_BREACHES) {
       breaches.add(System.currentTimeMillis() + " " + rule + ": " + detail);
     }
   }
 
-  /** Returns what was broken so far, with the time in ms since the epoch. */
+  /** Returns the first breaches, each with its time in milliseconds since the epoch. */
   public synchronized List<String> breaches() {
     return List.copyOf(breaches);
   }
 
-  /** Returns the requests that were served so far. */
+  /** Returns the number of requests served so far. */
   public synchronized long servedCount() {
     return served;
   }
 
-  /** Returns the flows that failed so far. */
+  /** Returns the number of flows that have failed so far. */
   public synchronized long failedCount() {
     return failed;
   }
 
   /** Returns the counts in one line. */
   public synchronized String summary() {
-    return "served=" + served + " failed=" + failed + " troubles=" + troubles;
+    return "served=" + served + " failed=" + failed + " troubles=" + faults;
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/WatchedTarget.java
@@ -10,30 +10,30 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A target that reports to the monitor what reaches it, what opens at it and what it runs. */
+/** A target that reports its received packets, opened flows and run requests to the monitor. */
 public final class WatchedTarget implements AutoCloseable {
   private final TargetStart start;
   private final RuleMonitor monitor;
-  private final RouteRules routes;
+  private final ExpectedRoutes routes;
   private final StandInTarget target;
   private final AtomicLong runs = new AtomicLong();
   private final AtomicLong lateOpenings = new AtomicLong();
-  private volatile long takesNoneSinceMs = Long.MAX_VALUE;
+  private volatile long noNewFlowsSinceMs = Long.MAX_VALUE;
 
   /**
    * Starts a target.
    *
    * @throws IOException if one of its ports can't be bound
    */
-  public WatchedTarget(TargetStart start, RuleMonitor monitor, RouteRules routes)
+  public WatchedTarget(TargetStart start, RuleMonitor monitor, ExpectedRoutes routes)
       throws IOException {
     this.start = start;
     this.monitor = monitor;
     this.routes = routes;
-    this.target = new StandInTarget(start, new Reports());
+    this.target = new StandInTarget(start, new MonitoringListener());
   }
 
-  /** Returns which start this is. */
+  /** Returns the start of this target. */
   public TargetStart start() {
     return start;
   }
@@ -43,69 +43,73 @@
     return target;
   }
 
-  /** From some time on, the operator or the target wants no new flow here; never: MAX_VALUE. */
-  public void takesNoneSince(long sinceMs) {
-    takesNoneSinceMs = sinceMs;
+  /**
+   * Sets the time since which this target must get no new flows because it drains or its zone is
+   * evacuated, in milliseconds since the epoch; {@code Long.MAX_VALUE} if it may get new flows.
+   */
+  public void setNoNewFlowsSince(long sinceMs) {
+    noNewFlowsSinceMs = sinceMs;
   }
 
-  /** Returns whether it has not been ended. */
+  /** Returns whether the target has not been closed. */
   public boolean isAlive() {
     return target.isAlive();
   }
 
-  /** Returns how many requests it has run. */
+  /** Returns the number of requests that this target has run. */
   public long runCount() {
     return runs.get();
   }
 
   /**
-   * Returns how many flows have opened here longer after it took no more than that may take to be
-   * known everywhere, troubles or not.
+   * Returns the number of flows that opened here more than {@link RuleMonitor#PROPAGATION_LIMIT_MS}
+   * after the target was to get no new flows. Unlike {@link Rule#LATE_OPENING}, this count includes
+   * flows that opened soon after a fault.
    */
   public long lateOpeningCount() {
     return lateOpenings.get();
   }
 
-  private final class Reports implements TargetListener {
+  private final class MonitoringListener implements TargetListener {
     @Override
     public void onPacket(ByteBuffer packet) {
-      monitor.reached(Packets.unchangeable(packet), start.id());
+      monitor.recordReceivedPacket(Packets.unchangeable(packet), start.id());
     }
 
     @Override
     public void onOpened(ByteBuffer packet) {
-      noteOpened(Packets.destination(packet), System.currentTimeMillis());
+      checkOpenedFlow(Packets.destination(packet), System.currentTimeMillis());
     }
 
     @Override
     public String runRequest(String request) {
       long number = RequestText.numberOf(request);
       runs.incrementAndGet();
-      monitor.ran(number, start.id());
+      monitor.recordRun(number, start.id());
       return RequestText.response(number, start.id());
     }
   }
 
-  private void noteOpened(int routeAddress, long nowMs) {
-    if (!routes.mayTake(routeAddress, start.service())) {
+  private void checkOpenedFlow(int routeAddress, long nowMs) {
+    if (!routes.mayReceiveFlows(routeAddress, start.service())) {
       String route = Ipv4.text(routeAddress);
       String detail = start.id() + " of " + start.service() + " got a flow of " + route;
-      monitor.breach(Rule.WRONG_SERVICE, detail);
+      monitor.recordBreach(Rule.WRONG_SERVICE, detail);
     }
-    if (nowMs - takesNoneSinceMs > RuleMonitor.IN_FORCE_WITHIN_MS) {
+    if (nowMs - noNewFlowsSinceMs > RuleMonitor.PROPAGATION_LIMIT_MS) {
       lateOpenings.incrementAndGet();
     }
-    if (monitor.mustBeInForce(takesNoneSinceMs, nowMs)) {
-      String detail = start.id() + " in " + start.zone() + " since " + takesNoneSinceMs;
-      monitor.breach(Rule.LATE_OPENING, detail);
+    if (monitor.mustBeEffective(noNewFlowsSinceMs, nowMs)) {
+      String detail = start.id() + " in " + start.zone() + " since " + noNewFlowsSinceMs;
+      monitor.recordBreach(Rule.LATE_OPENING, detail);
     }
-    if (monitor.mustBeInForce(routes.droppedSinceMs(routeAddress, start.service()), nowMs)) {
-      String detail = start.id() + " got a flow of a route that was dropped or moved";
-      monitor.breach(Rule.OLD_CONFIGURATION, detail);
+    if (monitor.mustBeEffective(routes.removedSinceMs(routeAddress, start.service()), nowMs)) {
+      String detail = start.id() + " got a flow of a route that was removed or moved";
+      monitor.recordBreach(Rule.OLD_CONFIGURATION, detail);
     }
   }
 
-  /** Ends at once and forgets its flows. */
+  /** Closes the target at once; its flows are lost. */
   @Override
   public void close() throws IOException {
     target.close();
--- a/lab/src/main/java/io/moorstage/lab/monitor/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/package-info.java
@@ -1,7 +1,9 @@
 /**
- * What must hold in a fleet under faults, judged by what clients, targets and the operator see.
+ * The rules that a fleet must keep under faults, checked by what clients, targets and the operator
+ * observe.
  *
- * <p>Owns the rules and the list of what was broken. Relies on the stand-ins, which report here;
- * asks no balancer or agent, so that a wrong belief of theirs can't excuse what it caused.
+ * <p>Owns the rules and the list of breaches. Relies on the stand-ins, which report their events
+ * here. It does not query balancers or agents, because wrong state in them could then hide the
+ * breach that it caused.
  */
 package io.moorstage.lab.monitor;
--- a/lab/src/main/java/io/moorstage/lab/soak/FaultSchedule.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/FaultSchedule.java
@@ -47,12 +47,12 @@
   private void end(String what, Step step) {
     try {
       note(what, step);
-      monitor.trouble(System.currentTimeMillis());
+      monitor.recordFault(System.currentTimeMillis());
     } catch (InterruptedException e) {
       // The soak is over; what is left to do is dropped with it.
       Thread.currentThread().interrupt();
     } catch (IOException | RuntimeException e) {
-      monitor.breach(Rule.HARNESS, what + ": " + e);
+      monitor.recordBreach(Rule.HARNESS, what + ": " + e);
     }
   }
 
--- a/lab/src/main/java/io/moorstage/lab/soak/FaultSoak.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/FaultSoak.java
@@ -2,9 +2,9 @@
 
 import io.moorstage.lab.client.FlowClients;
 import io.moorstage.lab.edge.StoreKeys;
+import io.moorstage.lab.monitor.MonitoringClientListener;
 import io.moorstage.lab.monitor.Rule;
 import io.moorstage.lab.monitor.RuleMonitor;
-import io.moorstage.lab.monitor.WatchedClients;
 import io.moorstage.lab.monitor.WatchedTarget;
 import io.moorstage.lab.process.LaunchCommand;
 import io.moorstage.lab.process.NotReadyException;
@@ -98,7 +98,7 @@
             CLIENTS,
             router,
             new SoakTraffic(routes, new Random(seed + 1)),
-            new WatchedClients(monitor),
+            new MonitoringClientListener(monitor),
             fleet::targetOf);
   }
 
@@ -149,7 +149,7 @@
     long served = monitor.servedCount() - servedBefore;
     // Some 40 new flows a second, with three requests in the mean.
     if (served < CHECK_MS / MS_PER_S * SoakTraffic.FLOWS_PER_S) {
-      monitor.breach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_MS + " ms");
+      monitor.recordBreach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_MS + " ms");
     }
     fleet.checkProcesses();
   }
@@ -187,7 +187,7 @@
     if (!restarting.add(address)) {
       return;
     }
-    monitor.trouble(System.currentTimeMillis());
+    monitor.recordFault(System.currentTimeMillis());
     faults.note(signal + " " + address, () -> Programs.signal(process, signal));
     faults.after(
         delayMs,
@@ -201,7 +201,7 @@
 
   private void pause(String address, int forMs) throws IOException, InterruptedException {
     Process process = fleet.processAt(address);
-    monitor.trouble(System.currentTimeMillis() + forMs);
+    monitor.recordFault(System.currentTimeMillis() + forMs);
     faults.note("STOP " + address, () -> Programs.signal(process, "STOP"));
     faults.after(forMs, "CONT " + address, () -> Programs.signal(process, "CONT"));
   }
@@ -209,14 +209,14 @@
   private void troubleStore(int forMs) throws IOException, InterruptedException {
     StoreMode[] modes = {StoreMode.BUSY, StoreMode.SILENT, StoreMode.SLOW};
     StoreMode mode = modes[random.nextInt(modes.length)];
-    monitor.trouble(System.currentTimeMillis() + forMs);
+    monitor.recordFault(System.currentTimeMillis() + forMs);
     faults.note("store " + mode, () -> fleet.store().setMode(mode));
     faults.after(forMs, "store serves", () -> fleet.store().setMode(StoreMode.SERVING));
   }
 
   private void restoreStore() throws IOException, InterruptedException {
     int downMs = MIN_STORE_TROUBLE_MS + random.nextInt(HEALS_WITHIN_MS);
-    monitor.trouble(System.currentTimeMillis() + downMs);
+    monitor.recordFault(System.currentTimeMillis() + downMs);
     faults.note("store down, comes back from a copy", () -> fleet.store().setMode(StoreMode.BUSY));
     Thread.sleep(downMs);
     fleet.store().restore(copy);
@@ -232,7 +232,7 @@
       return;
     }
     String id = target.start().id();
-    monitor.trouble(System.currentTimeMillis());
+    monitor.recordFault(System.currentTimeMillis());
     faults.note("crash " + id, target::close);
     faults.after(ENTRY_LAPSES_MS, "lapse " + id, () -> fleet.unlist(target));
     faults.after(
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakFleet.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakFleet.java
@@ -99,7 +99,7 @@
     targets.removeIf(before -> before.start().address().equals(address));
     targets.add(target);
     if (evacuated.contains(zone)) {
-      target.takesNoneSince(System.currentTimeMillis());
+      target.setNoNewFlowsSince(System.currentTimeMillis());
     }
     store.put(StoreKeys.target(start.id()), start.entry(false));
   }
@@ -114,7 +114,7 @@
 
   /** A target says that it leaves. */
   synchronized void drain(WatchedTarget target) {
-    target.takesNoneSince(System.currentTimeMillis());
+    target.setNoNewFlowsSince(System.currentTimeMillis());
     draining.add(target.start());
     store.put(StoreKeys.target(target.start().id()), target.start().entry(true));
   }
@@ -209,7 +209,7 @@
     long sinceMs = lifts ? Long.MAX_VALUE : System.currentTimeMillis();
     for (WatchedTarget target : targets) {
       if (target.start().zone().equals(zone)) {
-        target.takesNoneSince(sinceMs);
+        target.setNoNewFlowsSince(sinceMs);
       }
     }
     if (lifts) {
@@ -223,7 +223,7 @@
   synchronized void checkProcesses() {
     for (Map.Entry<String, Process> entry : processes.entrySet()) {
       if (!entry.getValue().isAlive()) {
-        monitor.breach(Rule.ENDED_BY_ITSELF, entry.getKey());
+        monitor.recordBreach(Rule.ENDED_BY_ITSELF, entry.getKey());
       }
     }
   }
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakRoutes.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakRoutes.java
@@ -4,7 +4,7 @@
 import io.moorstage.core.state.ForwardingRoute;
 import io.moorstage.core.state.WeightedService;
 import io.moorstage.lab.edge.StoreJson;
-import io.moorstage.lab.monitor.RouteRules;
+import io.moorstage.lab.monitor.ExpectedRoutes;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * The routes of a soak: two that stay, one that comes and goes, and, in some soaks, one that moves
  * from one service to the other and back. Thread-safe.
  */
-final class SoakRoutes implements RouteRules {
+final class SoakRoutes implements ExpectedRoutes {
   static final int TABLES = 0xC6120001;
   static final int BUNDLES = 0xC6120002;
   static final int COMES_AND_GOES = 0xC6120003;
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public boolean mayTake(int routeAddress, String service) {
+  public boolean mayReceiveFlows(int routeAddress, String service) {
     return routeAddress == MOVES || service.equals(serviceOf(routeAddress));
   }
 
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public synchronized long droppedSinceMs(int address, String service) {
+  public synchronized long removedSinceMs(int address, String service) {
     if (address == MOVES) {
       return service.equals(movingTo) ? Long.MAX_VALUE : movedMs;
     }
--- a/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
+++ b/lab/src/test/java/io/moorstage/lab/client/FlowClientsTest.java
@@ -4,9 +4,9 @@
 
 import com.sun.net.httpserver.HttpServer;
 import io.moorstage.lab.edge.Packets;
+import io.moorstage.lab.monitor.MonitoringClientListener;
 import io.moorstage.lab.monitor.Rule;
 import io.moorstage.lab.monitor.RuleMonitor;
-import io.moorstage.lab.monitor.WatchedClients;
 import io.moorstage.lab.process.Ports;
 import io.moorstage.lab.router.Router;
 import io.moorstage.lab.targets.StandInTarget;
@@ -79,7 +79,7 @@
             CLIENTS,
             router,
             new SingleFlow(),
-            new WatchedClients(monitor),
+            new MonitoringClientListener(monitor),
             sequence -> sequence == start.sequence() ? target : null);
     clients.start();
   }
--- a/lab/src/test/java/io/moorstage/lab/monitor/WatchedTargetTest.java
+++ b/lab/src/test/java/io/moorstage/lab/monitor/WatchedTargetTest.java
@@ -15,31 +15,34 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Breaks each rule that a target judges, and shows that the monitor tells of it. */
+/**
+ * Breaks each rule that is checked at a target, and checks that the monitor records the breach. A
+ * rule that is not recorded would let a soak pass although the fleet is at fault.
+ */
 class WatchedTargetTest {
   private static final String ADDRESS = "127.80.2.1";
   private static final Packets.End CLIENT = new Packets.End(Ipv4.number("127.80.9.1"), 2_000);
   private static final Packets.End ROUTE = new Packets.End(Ipv4.number("198.18.0.1"), 443);
   private static final int FIRST_DATA = Packets.CLIENT_SEQUENCE + 1;
-  private static final long LONG_AGO_MS = RuleMonitor.IN_FORCE_WITHIN_MS + 10_000L;
-  private static final int ANSWER_WAIT_MS = 10_000;
+  private static final long LONG_AGO_MS = RuleMonitor.PROPAGATION_LIMIT_MS + 10_000L;
+  private static final int RESPONSE_TIMEOUT_MS = 10_000;
 
   private final RuleMonitor monitor = new RuleMonitor();
   private String routeService = "tables";
-  private long droppedSinceMs = Long.MAX_VALUE;
+  private long removedSinceMs = Long.MAX_VALUE;
   private WatchedTarget target;
   private DatagramChannel agent;
 
-  private final RouteRules routes =
-      new RouteRules() {
+  private final ExpectedRoutes routes =
+      new ExpectedRoutes() {
         @Override
-        public boolean mayTake(int routeAddress, String service) {
+        public boolean mayReceiveFlows(int routeAddress, String service) {
           return service.equals(routeService);
         }
 
         @Override
-        public long droppedSinceMs(int routeAddress, String service) {
-          return droppedSinceMs;
+        public long removedSinceMs(int routeAddress, String service) {
+          return removedSinceMs;
         }
       };
 
@@ -48,7 +51,7 @@
     TargetStart start = TargetStart.of("t", "tables", ADDRESS, "z", 1);
     target = new WatchedTarget(start, monitor, routes);
     agent = DatagramChannel.open().bind(new InetSocketAddress(ADDRESS, Ports.EGRESS));
-    agent.socket().setSoTimeout(ANSWER_WAIT_MS);
+    agent.socket().setSoTimeout(RESPONSE_TIMEOUT_MS);
   }
 
   @AfterEach
@@ -57,12 +60,12 @@
     target.close();
   }
 
-  private void write(ByteBuffer packet) throws IOException {
-    monitor.wrote(Packets.unchangeable(packet));
+  private void sendFromClient(ByteBuffer packet) throws IOException {
+    monitor.recordSentPacket(Packets.unchangeable(packet));
     deliver(packet);
   }
 
-  /** Delivers a packet and waits until the target has answered it. */
+  /** Delivers a packet and waits for the response of the target. */
   private void deliver(ByteBuffer packet) throws IOException {
     agent.send(packet.duplicate(), new InetSocketAddress(ADDRESS, Ports.APP));
     byte[] bytes = new byte[Packets.BUFFER_BYTES];
@@ -75,73 +78,73 @@
   }
 
   private void openFlow() throws IOException {
-    write(Packets.open(CLIENT, ROUTE, 0));
-    write(request(FIRST_DATA, 1));
+    sendFromClient(Packets.open(CLIENT, ROUTE, 0));
+    sendFromClient(request(FIRST_DATA, 1));
   }
 
-  private void assertBroken(Rule rule) {
+  private void assertOneBreach(Rule rule) {
     List<String> breaches = monitor.breaches();
     assertThat(breaches).hasSize(1);
     assertThat(breaches.get(0)).contains(" " + rule + ": ");
   }
 
   @Test
-  void flowThatIsServedBreaksNothing() throws IOException {
+  void servedFlowBreaksNoRule() throws IOException {
     openFlow();
-    write(request(FIRST_DATA, 1));
+    sendFromClient(request(FIRST_DATA, 1));
     assertThat(monitor.breaches()).isEmpty();
     assertThat(target.runCount()).isEqualTo(1);
   }
 
   @Test
-  void packetThatNobodyHasWrittenIsTold() throws IOException {
+  void packetThatNoClientSentIsRecorded() throws IOException {
     openFlow();
     deliver(request(FIRST_DATA + 10, 2));
-    assertBroken(Rule.CHANGED_PACKET);
+    assertOneBreach(Rule.CHANGED_PACKET);
   }
 
   @Test
-  void fieldsThatTheSystemMayUseAreNoChange() throws IOException {
+  void changeOfMutableFieldsIsAllowed() throws IOException {
     ByteBuffer open = Packets.open(CLIENT, ROUTE, 0);
-    monitor.wrote(Packets.unchangeable(open));
+    monitor.recordSentPacket(Packets.unchangeable(open));
     deliver(Packets.returned(open).putInt(6, 77));
     assertThat(monitor.breaches()).isEmpty();
   }
 
   @Test
-  void flowOfAnotherServiceIsTold() throws IOException {
+  void flowOfAnotherServiceIsRecorded() throws IOException {
     routeService = "bundles";
     openFlow();
-    assertBroken(Rule.WRONG_SERVICE);
+    assertOneBreach(Rule.WRONG_SERVICE);
   }
 
   @Test
-  void requestThatRunsAgainIsTold() throws IOException {
+  void requestThatRunsTwiceIsRecorded() throws IOException {
     openFlow();
-    write(request(FIRST_DATA + 10, 1));
-    assertBroken(Rule.RAN_TWICE);
+    sendFromClient(request(FIRST_DATA + 10, 1));
+    assertOneBreach(Rule.RAN_TWICE);
   }
 
   @Test
-  void flowThatOpensLongAfterTheTargetBeganToLeaveIsTold() throws IOException {
-    target.takesNoneSince(System.currentTimeMillis() - LONG_AGO_MS);
+  void flowThatOpensTooLongAfterTheDrainIsRecorded() throws IOException {
+    target.setNoNewFlowsSince(System.currentTimeMillis() - LONG_AGO_MS);
     openFlow();
-    assertBroken(Rule.LATE_OPENING);
+    assertOneBreach(Rule.LATE_OPENING);
     assertThat(target.lateOpeningCount()).isEqualTo(1);
   }
 
   @Test
-  void flowThatOpensSoonAfterATroubleIsForgiven() throws IOException {
-    target.takesNoneSince(System.currentTimeMillis() - LONG_AGO_MS);
-    monitor.trouble(System.currentTimeMillis());
+  void flowThatOpensSoonAfterAFaultIsAllowed() throws IOException {
+    target.setNoNewFlowsSince(System.currentTimeMillis() - LONG_AGO_MS);
+    monitor.recordFault(System.currentTimeMillis());
     openFlow();
     assertThat(monitor.breaches()).isEmpty();
   }
 
   @Test
-  void flowOfARouteThatWasDroppedLongAgoIsTold() throws IOException {
-    droppedSinceMs = System.currentTimeMillis() - LONG_AGO_MS;
+  void flowOfARouteRemovedLongAgoIsRecorded() throws IOException {
+    removedSinceMs = System.currentTimeMillis() - LONG_AGO_MS;
     openFlow();
-    assertBroken(Rule.OLD_CONFIGURATION);
+    assertOneBreach(Rule.OLD_CONFIGURATION);
   }
 }
