--- a/lab/src/main/java/io/moorstage/lab/soak/FaultSchedule.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/FaultSchedule.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Does the steps of faults, now or later, and writes each down with its time. */
+/** Runs the steps of faults, at once or after a delay, and logs each with its time. */
 final class FaultSchedule implements AutoCloseable {
-  /** A step that waits for a process may not hold up another. */
+  /** Two threads, so that a step that waits for a process does not delay another step. */
   private static final int THREADS = 2;
 
   private final Path log;
   private final RuleMonitor monitor;
-  private final ScheduledExecutorService later = Executors.newScheduledThreadPool(THREADS);
+  private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(THREADS);
 
-  /** A step that may fail; a failure is one of the harness. */
+  /** A step that may fail; a failure is recorded as a failure of the harness. */
   interface Step {
     void run() throws IOException, InterruptedException;
   }
@@ -30,35 +30,35 @@
     this.monitor = monitor;
   }
 
-  /** Does a step now. */
-  void note(String what, Step step) throws IOException, InterruptedException {
-    String line = System.currentTimeMillis() + " " + what + "\n";
+  /** Logs a step and runs it at once. */
+  void runNow(String description, Step step) throws IOException, InterruptedException {
+    String line = System.currentTimeMillis() + " " + description + "\n";
     Files.writeString(log, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     step.run();
   }
 
-  /** Does a step later, which is the end of a trouble. */
-  void after(int delayMs, String what, Step step) {
-    // Nobody waits for the result: end() reports every failure itself.
+  /** Schedules a step that ends a fault. */
+  void runLater(int delayMs, String description, Step step) {
+    // The result is not awaited because runRecovery() records every failure itself.
     ScheduledFuture<?> unused =
-        later.schedule(() -> end(what, step), delayMs, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> runRecovery(description, step), delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private void end(String what, Step step) {
+  private void runRecovery(String description, Step step) {
     try {
-      note(what, step);
+      runNow(description, step);
       monitor.recordFault(System.currentTimeMillis());
     } catch (InterruptedException e) {
-      // The soak is over; what is left to do is dropped with it.
+      // The soak has ended and cancels the pending steps.
       Thread.currentThread().interrupt();
     } catch (IOException | RuntimeException e) {
-      monitor.recordBreach(Rule.HARNESS, what + ": " + e);
+      monitor.recordBreach(Rule.HARNESS, description + ": " + e);
     }
   }
 
-  /** Drops the steps that are still to come. */
+  /** Cancels the pending steps. */
   @Override
   public void close() {
-    later.shutdownNow();
+    executor.shutdownNow();
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/soak/FaultSoak.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/FaultSoak.java
@@ -21,40 +21,40 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A soak: three balancers and six agents as processes, with faults from outside at random moments.
- * A seed gives the order and kinds of the faults; the moments at which processes act are the
- * machine's.
+ * A soak test: runs three balancers and six agents as processes and injects faults at random times.
+ * The seed determines the order and kinds of the faults, but not the times at which the processes
+ * are scheduled, so that a run cannot be reproduced exactly.
  */
 public final class FaultSoak implements AutoCloseable {
-  private static final String CLIENTS = "127.78.9.1";
+  private static final String CLIENT_ADDRESS = "127.78.9.1";
 
-  /** In the mean; shorter than a restart, so that faults overlap. */
-  private static final int FAULT_EVERY_MS = 1_200;
+  /** Mean time between faults; shorter than a restart of a process, so that faults overlap. */
+  private static final int MEAN_FAULT_INTERVAL_MS = 1_200;
 
-  /** The longest delay of what heals a fault, drawn for each. */
-  private static final int HEALS_WITHIN_MS = 1_500;
+  /** Upper bound of the delay before the recovery from a fault, drawn at random for each fault. */
+  private static final int MAX_RECOVERY_DELAY_MS = 1_500;
 
-  /** As many as {@code inject} knows. */
+  /** The number of cases in {@code inject}. */
   private static final int FAULT_KINDS = 11;
 
   private static final int MIN_PAUSE_MS = 300;
-  private static final int MIN_STORE_TROUBLE_MS = 1_000;
+  private static final int MIN_STORE_OUTAGE_MS = 1_000;
 
-  /** Two heartbeats of the platform's 1.1 s in silence. */
-  private static final int ENTRY_LAPSES_MS = 2_300;
+  /** An entry expires after two missed heartbeats; the platform's interval is 1.1 s. */
+  private static final int ENTRY_EXPIRY_MS = 2_300;
 
-  /** The operator and the targets have written again within two seconds of the store's return. */
-  private static final int WRITTEN_AGAIN_WITHIN_MS = 2_000;
+  /** The operator and the targets write their entries again within this time of a store restore. */
+  private static final int MAX_REWRITE_DELAY_MS = 2_000;
 
-  /** A copy is as old as this many faults, some four seconds. */
-  private static final int FAULTS_A_COPY = 3;
+  /** The number of faults between a copy of the store and its restore, about four seconds. */
+  private static final int FAULTS_PER_COPY = 3;
 
   private static final int MIN_TARGET_START_MS = 500;
 
-  /** Longer than the time in which a leaving target must get no more flows. */
+  /** Longer than the propagation limit, after which a draining target must get no new flows. */
   private static final int DRAIN_MS = 6_000;
 
-  /** Longer than the last healing step is delayed. */
+  /** Longer than the largest delay of a recovery step. */
   private static final int SETTLE_MS = 8_000;
 
   private static final int CHECK_MS = 5_000;
@@ -71,17 +71,17 @@
   private final boolean storeRestores;
   private StoreCopy copy;
 
-  /** Addresses whose process has been told to end and is not started again yet. */
+  /** Addresses whose process was signalled to end and has not been restarted yet. */
   private final Set<String> restarting = ConcurrentHashMap.newKeySet();
 
   /**
-   * Creates a soak; nothing but its store has started.
+   * Creates a soak and starts only its store.
    *
-   * @param seed decides the order and kinds of faults
-   * @param options what happens beside the faults that all soaks have
+   * @param seed determines the order and kinds of faults
+   * @param options the faults in addition to those of every soak
    * @param command how programs are started
-   * @param folder takes settings, logs, the faults and what was broken
-   * @throws IOException if an address can't be bound or the folder not be made
+   * @param folder receives the settings, the logs, the list of faults and the breaches
+   * @throws IOException if an address can't be bound or the folder can't be created
    */
   public FaultSoak(long seed, SoakOptions options, LaunchCommand command, Path folder)
       throws IOException {
@@ -95,7 +95,7 @@
     this.router = new Router(SoakFleet.BALANCERS);
     this.clients =
         new FlowClients(
-            CLIENTS,
+            CLIENT_ADDRESS,
             router,
             new SoakTraffic(routes, new Random(seed + 1)),
             new MonitoringClientListener(monitor),
@@ -105,49 +105,49 @@
   /**
    * Starts the fleet and its clients.
    *
-   * @throws NotReadyException if a balancer does not come up
+   * @throws NotReadyException if a balancer does not become ready
    */
   public void start() throws IOException, InterruptedException, NotReadyException {
     fleet.start();
     clients.start();
   }
 
-  /** Runs for some time under faults, heals all, and checks that everything is served again. */
+  /** Injects faults for some time, ends them all, and checks that requests are served again. */
   public void run(int durationMs) throws IOException, InterruptedException {
     long end = System.currentTimeMillis() + durationMs;
-    boolean moves = false;
-    int faultsOfCopy = 0;
+    boolean moveIsDue = false;
+    int faultsSinceCopy = 0;
     while (System.currentTimeMillis() < end) {
-      Thread.sleep(FAULT_EVERY_MS / 2 + random.nextInt(FAULT_EVERY_MS));
+      Thread.sleep(MEAN_FAULT_INTERVAL_MS / 2 + random.nextInt(MEAN_FAULT_INTERVAL_MS));
       inject();
-      if (moves && routes.hasMoving()) {
-        faults.note("move", () -> fleet.store().put(StoreKeys.CONFIGURATION, routes.move()));
+      if (moveIsDue && routes.hasMoving()) {
+        faults.runNow("move", () -> fleet.store().put(StoreKeys.CONFIGURATION, routes.moveRoute()));
       }
-      moves = !moves;
-      if (storeRestores && ++faultsOfCopy == FAULTS_A_COPY) {
+      moveIsDue = !moveIsDue;
+      if (storeRestores && ++faultsSinceCopy == FAULTS_PER_COPY) {
         restoreStore();
-        faultsOfCopy = 0;
+        faultsSinceCopy = 0;
       }
     }
     if (storeRestores) {
-      // Judged while no fault excuses it.
+      // No fault follows, so that the monitor checks this restore and drain against their limits.
       restoreStore();
       Thread.sleep(MIN_PAUSE_MS);
-      WatchedTarget last = fleet.targetAt(oneOf(fleet.sides()));
-      faults.note("drain for good " + last.start().id(), () -> fleet.drain(last));
+      WatchedTarget drained = fleet.targetAt(randomElement(fleet.targetAddresses()));
+      faults.runNow("drain permanently " + drained.start().id(), () -> fleet.drain(drained));
     }
     Thread.sleep(SETTLE_MS);
     fleet.store().setMode(StoreMode.SERVING);
     for (String zone : SoakFleet.ZONES) {
       if (fleet.isEvacuated(zone)) {
-        evacuateOrLift(zone);
+        toggleEvacuation(zone);
       }
     }
     Thread.sleep(SETTLE_MS);
     long servedBefore = monitor.servedCount();
     Thread.sleep(CHECK_MS);
     long served = monitor.servedCount() - servedBefore;
-    // Some 40 new flows a second, with three requests in the mean.
+    // Requires one served request per new flow; flows have about three requests on average.
     if (served < CHECK_MS / MS_PER_S * SoakTraffic.FLOWS_PER_S) {
       monitor.recordBreach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_MS + " ms");
     }
@@ -155,30 +155,30 @@
   }
 
   private void inject() throws IOException, InterruptedException {
-    String balancer = oneOf(SoakFleet.BALANCERS);
-    String side = oneOf(fleet.sides());
-    int delayMs = random.nextInt(HEALS_WITHIN_MS);
+    String balancer = randomElement(SoakFleet.BALANCERS);
+    String targetAddress = randomElement(fleet.targetAddresses());
+    int delayMs = random.nextInt(MAX_RECOVERY_DELAY_MS);
     switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> endAndRestart(balancer, "KILL", delayMs);
       case 1 -> endAndRestart(balancer, "TERM", delayMs);
-      case 2 -> pause(random.nextBoolean() ? balancer : side, MIN_PAUSE_MS + delayMs);
-      case 3 -> endAndRestart(side, "KILL", delayMs);
-      case 4 -> endAndRestart(side, "TERM", delayMs);
-      case 5 -> troubleStore(MIN_STORE_TROUBLE_MS + delayMs);
-      case 6 -> faults.note("compact", fleet.store()::compact);
-      case 7 -> crash(side, delayMs);
-      case 8 -> drain(side);
-      case 9 -> evacuateOrLift(oneOf(SoakFleet.ZONES));
-      default -> faults.note("configuration", this::changeConfiguration);
+      case 2 -> pause(random.nextBoolean() ? balancer : targetAddress, MIN_PAUSE_MS + delayMs);
+      case 3 -> endAndRestart(targetAddress, "KILL", delayMs);
+      case 4 -> endAndRestart(targetAddress, "TERM", delayMs);
+      case 5 -> disruptStore(MIN_STORE_OUTAGE_MS + delayMs);
+      case 6 -> faults.runNow("compact", fleet.store()::compact);
+      case 7 -> crash(targetAddress, delayMs);
+      case 8 -> drain(targetAddress);
+      case 9 -> toggleEvacuation(randomElement(SoakFleet.ZONES));
+      default -> faults.runNow("configuration", this::toggleIntermittentRoute);
     }
   }
 
-  private String oneOf(List<String> all) {
-    return all.get(random.nextInt(all.size()));
+  private String randomElement(List<String> elements) {
+    return elements.get(random.nextInt(elements.size()));
   }
 
-  private void changeConfiguration() {
-    fleet.store().put(StoreKeys.CONFIGURATION, routes.change());
+  private void toggleIntermittentRoute() {
+    fleet.store().put(StoreKeys.CONFIGURATION, routes.toggleIntermittentRoute());
   }
 
   private void endAndRestart(String address, String signal, int delayMs)
@@ -188,8 +188,8 @@
       return;
     }
     monitor.recordFault(System.currentTimeMillis());
-    faults.note(signal + " " + address, () -> Programs.signal(process, signal));
-    faults.after(
+    faults.runNow(signal + " " + address, () -> Programs.signal(process, signal));
+    faults.runLater(
         delayMs,
         "start " + address,
         () -> {
@@ -199,30 +199,31 @@
         });
   }
 
-  private void pause(String address, int forMs) throws IOException, InterruptedException {
+  private void pause(String address, int durationMs) throws IOException, InterruptedException {
     Process process = fleet.processAt(address);
-    monitor.recordFault(System.currentTimeMillis() + forMs);
-    faults.note("STOP " + address, () -> Programs.signal(process, "STOP"));
-    faults.after(forMs, "CONT " + address, () -> Programs.signal(process, "CONT"));
+    monitor.recordFault(System.currentTimeMillis() + durationMs);
+    faults.runNow("STOP " + address, () -> Programs.signal(process, "STOP"));
+    faults.runLater(durationMs, "CONT " + address, () -> Programs.signal(process, "CONT"));
   }
 
-  private void troubleStore(int forMs) throws IOException, InterruptedException {
+  private void disruptStore(int durationMs) throws IOException, InterruptedException {
     StoreMode[] modes = {StoreMode.BUSY, StoreMode.SILENT, StoreMode.SLOW};
     StoreMode mode = modes[random.nextInt(modes.length)];
-    monitor.recordFault(System.currentTimeMillis() + forMs);
-    faults.note("store " + mode, () -> fleet.store().setMode(mode));
-    faults.after(forMs, "store serves", () -> fleet.store().setMode(StoreMode.SERVING));
+    monitor.recordFault(System.currentTimeMillis() + durationMs);
+    faults.runNow("store " + mode, () -> fleet.store().setMode(mode));
+    faults.runLater(durationMs, "store serves", () -> fleet.store().setMode(StoreMode.SERVING));
   }
 
   private void restoreStore() throws IOException, InterruptedException {
-    int downMs = MIN_STORE_TROUBLE_MS + random.nextInt(HEALS_WITHIN_MS);
+    int downMs = MIN_STORE_OUTAGE_MS + random.nextInt(MAX_RECOVERY_DELAY_MS);
     monitor.recordFault(System.currentTimeMillis() + downMs);
-    faults.note("store down, comes back from a copy", () -> fleet.store().setMode(StoreMode.BUSY));
+    faults.runNow(
+        "store down, will be restored from a copy", () -> fleet.store().setMode(StoreMode.BUSY));
     Thread.sleep(downMs);
     fleet.store().restore(copy);
-    faults.note("store is back", () -> fleet.store().setMode(StoreMode.SERVING));
-    Thread.sleep(random.nextInt(WRITTEN_AGAIN_WITHIN_MS));
-    faults.note("written again", fleet::writeAgain);
+    faults.runNow("store restored", () -> fleet.store().setMode(StoreMode.SERVING));
+    Thread.sleep(random.nextInt(MAX_REWRITE_DELAY_MS));
+    faults.runNow("entries rewritten", fleet::rewriteEntries);
     copy = fleet.store().copy();
   }
 
@@ -233,10 +234,12 @@
     }
     String id = target.start().id();
     monitor.recordFault(System.currentTimeMillis());
-    faults.note("crash " + id, target::close);
-    faults.after(ENTRY_LAPSES_MS, "lapse " + id, () -> fleet.unlist(target));
-    faults.after(
-        MIN_TARGET_START_MS + delayMs, "new target at " + address, () -> fleet.replace(target));
+    faults.runNow("crash " + id, target::close);
+    faults.runLater(ENTRY_EXPIRY_MS, "expire entry of " + id, () -> fleet.removeEntry(target));
+    faults.runLater(
+        MIN_TARGET_START_MS + delayMs,
+        "new target at " + address,
+        () -> fleet.startReplacement(target));
   }
 
   private void drain(String address) throws IOException, InterruptedException {
@@ -245,34 +248,34 @@
       return;
     }
     String id = target.start().id();
-    faults.note("drain " + id, () -> fleet.drain(target));
-    faults.after(DRAIN_MS, "leave " + id, () -> leave(target));
+    faults.runNow("drain " + id, () -> fleet.drain(target));
+    faults.runLater(DRAIN_MS, "end " + id, () -> endDrained(target));
   }
 
-  private void leave(WatchedTarget target) throws IOException {
-    fleet.unlist(target);
+  private void endDrained(WatchedTarget target) throws IOException {
+    fleet.removeEntry(target);
     if (target.isAlive()) {
       target.close();
-      fleet.replace(target);
+      fleet.startReplacement(target);
     }
   }
 
-  private void evacuateOrLift(String zone) throws IOException, InterruptedException {
-    String what = fleet.isEvacuated(zone) ? "lift " : "evacuate ";
-    faults.note(what + zone, () -> fleet.evacuateOrLift(zone));
+  private void toggleEvacuation(String zone) throws IOException, InterruptedException {
+    String action = fleet.isEvacuated(zone) ? "lift " : "evacuate ";
+    faults.runNow(action + zone, () -> fleet.toggleEvacuation(zone));
   }
 
-  /** Returns what was broken so far. */
+  /** Returns the breaches so far. */
   public List<String> breaches() {
     return monitor.breaches();
   }
 
-  /** Returns what was served, what failed and how many troubles there were. */
+  /** Returns the numbers of served requests, failed flows and recorded faults in one line. */
   public String summary() {
     return monitor.summary();
   }
 
-  /** Ends all that was started, and writes down what was broken. */
+  /** Stops everything that was started, and writes the breaches to {@code breaches.log}. */
   @Override
   public void close() throws IOException, InterruptedException {
     clients.close();
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakCommand.java
@@ -12,52 +12,53 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 
-/** Runs the fault soak with the real jar; fails if something that must hold was broken. */
-@Parameters(commandDescription = "Run a small fleet under random faults and judge what must hold")
+/** Runs the fault soak with the real jar; fails if a rule was broken. */
+@Parameters(
+    commandDescription = "Run a small fleet under random faults and check the rules that must hold")
 public final class SoakCommand implements LabCommand {
   private static final int SEED_BOUND = 1 << 30;
 
-  @Parameter(names = "--minutes", description = "How long faults go on")
+  @Parameter(names = "--minutes", description = "Minutes during which faults are injected")
   private int minutes = 1;
 
-  @Parameter(names = "--seed", description = "Decides the faults; a fresh one if left out")
+  @Parameter(names = "--seed", description = "Seed of the faults; random if left out")
   private Long seed;
 
-  @Parameter(names = "--moves", description = "A route moves between services")
+  @Parameter(names = "--moves", description = "Also move a route between services")
   private boolean moves;
 
-  @Parameter(names = "--restores", description = "The store comes back from older copies")
+  @Parameter(names = "--restores", description = "Also restore the store from older copies")
   private boolean restores;
 
-  @Parameter(names = "--jar", description = "The programs to run")
+  @Parameter(names = "--jar", description = "Jar of the programs to run")
   private Path jar = Build.jar();
 
   @Override
   public int run() throws IOException, NotReadyException, InterruptedException {
-    long chosen = seed == null ? new Random().nextInt(SEED_BOUND) : seed;
-    Path folder = Build.output("soak").resolve("seed-" + chosen);
-    System.out.println("soak seed=" + chosen + " minutes=" + minutes + " logs=" + folder);
+    long usedSeed = seed == null ? new Random().nextInt(SEED_BOUND) : seed;
+    Path folder = Build.output("soak").resolve("seed-" + usedSeed);
+    System.out.println("soak seed=" + usedSeed + " minutes=" + minutes + " logs=" + folder);
     FaultSoak soak =
-        new FaultSoak(chosen, new SoakOptions(moves, restores), LaunchCommand.ofJar(jar), folder);
-    Thread end = new Thread(() -> endBySignal(soak), "end");
-    Runtime.getRuntime().addShutdownHook(end);
+        new FaultSoak(usedSeed, new SoakOptions(moves, restores), LaunchCommand.ofJar(jar), folder);
+    Thread shutdownHook = new Thread(() -> closeOnShutdown(soak), "end");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try (soak) {
       soak.start();
       soak.run((int) TimeUnit.MINUTES.toMillis(minutes));
     }
-    Runtime.getRuntime().removeShutdownHook(end);
-    System.out.println("soak seed=" + chosen + " " + soak.summary());
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
+    System.out.println("soak seed=" + usedSeed + " " + soak.summary());
     for (String breach : soak.breaches()) {
       System.out.println("broken " + breach);
     }
     return soak.breaches().isEmpty() ? ExitCode.DONE : ExitCode.FAILED;
   }
 
-  private static void endBySignal(FaultSoak soak) {
+  private static void closeOnShutdown(FaultSoak soak) {
     try {
       soak.close();
     } catch (IOException | InterruptedException e) {
-      System.err.println("soak: could not end all: " + e);
+      System.err.println("soak: could not stop all programs and stand-ins: " + e);
     }
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakFleet.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakFleet.java
@@ -30,7 +30,7 @@
 final class SoakFleet implements AutoCloseable {
   static final List<String> BALANCERS = List.of("127.78.1.1", "127.78.1.2", "127.78.1.3");
   static final List<String> ZONES = List.of("lac", "ariana");
-  private static final String STORE = "127.78.8.1";
+  private static final String STORE_ADDRESS = "127.78.8.1";
   private static final String TARGET_NETWORK = "127.78.2.";
   private static final int TARGETS = 6;
   private static final int TARGETS_OF_TABLES = 4;
@@ -46,13 +46,13 @@
   private final List<WatchedTarget> targets = new ArrayList<>();
   private final List<String> evacuated = new ArrayList<>();
   private final Set<TargetStart> draining = new HashSet<>();
-  private int starts;
+  private int startCount;
 
   /**
-   * Starts the store and nothing else.
+   * Creates a fleet and starts only its store.
    *
-   * @param keepsIds whether a target that starts again keeps its id, and says when it began
-   * @throws IOException if its address can't be bound
+   * @param keepsIds whether a restarted target keeps its id and lists its start time
+   * @throws IOException if the store's address can't be bound
    */
   SoakFleet(
       LaunchCommand command, Path folder, RuleMonitor monitor, SoakRoutes routes, boolean keepsIds)
@@ -60,11 +60,11 @@
     this.keepsIds = keepsIds;
     this.monitor = monitor;
     this.routes = routes;
-    this.store = new StandInStore(new InetSocketAddress(STORE, Ports.STORE));
-    this.programs = new Programs(command, folder, STORE, BALANCERS);
+    this.store = new StandInStore(new InetSocketAddress(STORE_ADDRESS, Ports.STORE));
+    this.programs = new Programs(command, folder, STORE_ADDRESS, BALANCERS);
   }
 
-  /** Starts all and waits until the balancers are ready. */
+  /** Starts all targets and programs, and waits until the balancers are ready. */
   void start() throws IOException, InterruptedException, NotReadyException {
     store.put(StoreKeys.CONFIGURATION, routes.configuration());
     for (int i = 0; i < TARGETS; i++) {
@@ -85,18 +85,21 @@
     return store;
   }
 
-  /** Returns the target that accepts flows with a sequence, ended ones included; null for none. */
+  /**
+   * Returns the target, running or ended, that accepts flows with a sequence number; null if there
+   * is none.
+   */
   @Nullable
   synchronized StandInTarget targetOf(int sequence) {
     return targetsBySequence.get(sequence);
   }
 
-  /** Starts a target at an address and lists it. */
+  /** Starts a target at an address and writes its entry to the store. */
   synchronized void startTarget(String service, String address, String zone) throws IOException {
     TargetStart start = nextStart(service, address, zone);
     WatchedTarget target = new WatchedTarget(start, monitor, routes);
     targetsBySequence.put(start.sequence(), target.target());
-    targets.removeIf(before -> before.start().address().equals(address));
+    targets.removeIf(previous -> previous.start().address().equals(address));
     targets.add(target);
     if (evacuated.contains(zone)) {
       target.setNoNewFlowsSince(System.currentTimeMillis());
@@ -106,21 +109,21 @@
 
   private TargetStart nextStart(String service, String address, String zone) {
     if (!keepsIds) {
-      return TargetStart.of("t" + starts++, service, address, zone, TARGET_SLOTS);
+      return TargetStart.of("t" + startCount++, service, address, zone, TARGET_SLOTS);
     }
     String id = "t-" + address;
     return TargetStart.of(id, service, address, zone, TARGET_SLOTS).at(System.currentTimeMillis());
   }
 
-  /** A target says that it leaves. */
+  /** Marks a target as draining in the store. */
   synchronized void drain(WatchedTarget target) {
     target.setNoNewFlowsSince(System.currentTimeMillis());
     draining.add(target.start());
     store.put(StoreKeys.target(target.start().id()), target.start().entry(true));
   }
 
-  /** The entry of a target that has ended goes, unless the next start has written it. */
-  synchronized void unlist(WatchedTarget target) {
+  /** Removes the entry of an ended target, unless its replacement has overwritten the entry. */
+  synchronized void removeEntry(WatchedTarget target) {
     String id = target.start().id();
     boolean isReplaced = keepsIds && !targetAt(target.start().address()).equals(target);
     if (!isReplaced) {
@@ -128,14 +131,17 @@
     }
   }
 
-  /** The operator and all targets that live write again what a copy of the store may lack. */
-  synchronized void writeAgain() {
+  /**
+   * Writes the current configuration, evacuations and entries of running targets again, and removes
+   * the entries of ended targets, because a restored copy of the store may be out of date.
+   */
+  synchronized void rewriteEntries() {
     store.put(StoreKeys.CONFIGURATION, routes.configuration());
-    Set<String> living = new HashSet<>();
+    Set<String> liveKeys = new HashSet<>();
     for (WatchedTarget target : targets) {
       if (target.isAlive()) {
         TargetStart start = target.start();
-        living.add(StoreKeys.target(start.id()));
+        liveKeys.add(StoreKeys.target(start.id()));
         store.put(StoreKeys.target(start.id()), start.entry(draining.contains(start)));
       }
     }
@@ -147,30 +153,30 @@
       }
     }
     for (String key : store.keys()) {
-      if (StoreKeys.isTarget(key) && !living.contains(key)) {
+      if (StoreKeys.isTarget(key) && !liveKeys.contains(key)) {
         store.remove(key);
       }
     }
   }
 
-  /** Starts another target at the address of one that has ended. */
-  void replace(WatchedTarget target) throws IOException {
+  /** Starts a new target at the address of an ended one. */
+  void startReplacement(WatchedTarget target) throws IOException {
     TargetStart ended = target.start();
     startTarget(ended.service(), ended.address(), ended.zone());
   }
 
-  /** Starts the balancer or the agent of an address. */
+  /** Starts the balancer or the agent at an address. */
   void startProgram(String address) throws IOException {
     int balancer = BALANCERS.indexOf(address);
     if (balancer >= 0) {
-      put(address, programs.startBalancer(address, ZONES.get(balancer % ZONES.size())));
+      putProcess(address, programs.startBalancer(address, ZONES.get(balancer % ZONES.size())));
     } else {
       TargetStart start = targetAt(address).start();
-      put(address, programs.startAgent(address, start.zone(), start.service()));
+      putProcess(address, programs.startAgent(address, start.zone(), start.service()));
     }
   }
 
-  private synchronized void put(String address, Process process) {
+  private synchronized void putProcess(String address, Process process) {
     processes.put(address, process);
   }
 
@@ -187,8 +193,8 @@
     throw new IllegalStateException("no target at " + address);
   }
 
-  /** Returns the addresses of the targets, the latest start last. */
-  synchronized List<String> sides() {
+  /** Returns the addresses of the targets in the order of their starts. */
+  synchronized List<String> targetAddresses() {
     List<String> addresses = new ArrayList<>();
     for (WatchedTarget target : targets) {
       addresses.add(target.start().address());
@@ -200,8 +206,8 @@
     return evacuated.contains(zone);
   }
 
-  /** Evacuates a zone, or takes it back. */
-  synchronized void evacuateOrLift(String zone) {
+  /** Evacuates a zone, or lifts its evacuation. */
+  synchronized void toggleEvacuation(String zone) {
     boolean lifts = evacuated.remove(zone);
     if (!lifts) {
       evacuated.add(zone);
@@ -219,7 +225,7 @@
     }
   }
 
-  /** Notes the processes that have ended and not been started again. */
+  /** Records a breach for each process that has ended and has not been restarted. */
   synchronized void checkProcesses() {
     for (Map.Entry<String, Process> entry : processes.entrySet()) {
       if (!entry.getValue().isAlive()) {
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakOptions.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakOptions.java
@@ -1,14 +1,14 @@
 package io.moorstage.lab.soak;
 
 /**
- * What a soak does beside the faults that all have; each is off unless it is asked for, so that a
- * seed plays the same faults as ever.
+ * Faults in addition to those that every soak injects. Each is off by default, so that a seed gives
+ * the same sequence of faults as in earlier versions.
  *
- * @param routeMoves a route moves to another service at each second fault
- * @param storeRestores the store comes back from a copy of itself that is some faults old, at each
- *     third fault and after the last one; targets start again under the id that they had
+ * @param routeMoves whether a route moves to the other service at every second fault
+ * @param storeRestores whether the store is restored from an older copy of itself at every third
+ *     fault and after the last one; restarted targets then keep their ids
  */
 public record SoakOptions(boolean routeMoves, boolean storeRestores) {
-  /** Just the faults that all soaks have. */
+  /** Only the faults that every soak injects. */
   public static final SoakOptions PLAIN = new SoakOptions(false, false);
 }
--- a/lab/src/main/java/io/moorstage/lab/soak/SoakRoutes.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/SoakRoutes.java
@@ -10,33 +10,33 @@
 import java.util.Map;
 
 /**
- * The routes of a soak: two that stay, one that comes and goes, and, in some soaks, one that moves
- * from one service to the other and back. Thread-safe.
+ * The routes of a soak: two permanent ones, one that is added and removed repeatedly, and, in some
+ * soaks, one that moves between the two services. Thread-safe.
  */
 final class SoakRoutes implements ExpectedRoutes {
   static final int TABLES = 0xC6120001;
   static final int BUNDLES = 0xC6120002;
-  static final int COMES_AND_GOES = 0xC6120003;
-  static final int MOVES = 0xC6120004;
+  static final int INTERMITTENT = 0xC6120003;
+  static final int MOVING = 0xC6120004;
   static final int PORT = 443;
   private static final int TIMEOUT_MS = 3_000;
   private static final int IDLE_TIMEOUT_MS = 60_000;
 
-  /** Versions rise by uneven steps on the platform; readers may not count on 1. */
+  /** Not 1, because versions rise by uneven steps on the platform and readers must accept that. */
   private static final int VERSION_STEP = 3;
 
   private final boolean hasMoving;
   private int version = 1;
-  private boolean extra;
-  private long extraSinceMs = Long.MAX_VALUE;
-  private long extraDroppedMs = Long.MAX_VALUE;
-  private String movingTo = "tables";
-  private long movedMs = Long.MAX_VALUE;
+  private boolean hasIntermittent;
+  private long intermittentSinceMs = Long.MAX_VALUE;
+  private long intermittentRemovedMs = Long.MAX_VALUE;
+  private String movingService = "tables";
+  private long movedAtMs = Long.MAX_VALUE;
 
   /**
    * Creates the routes.
    *
-   * @param hasMoving whether there is one that moves
+   * @param hasMoving whether there is a route that moves between services
    */
   SoakRoutes(boolean hasMoving) {
     this.hasMoving = hasMoving;
@@ -48,52 +48,55 @@
 
   @Override
   public boolean mayReceiveFlows(int routeAddress, String service) {
-    return routeAddress == MOVES || service.equals(serviceOf(routeAddress));
+    return routeAddress == MOVING || service.equals(serviceOf(routeAddress));
   }
 
   private static String serviceOf(int address) {
     return address == BUNDLES ? "bundles" : "tables";
   }
 
-  /** Moves a route from one service to the other; returns the configuration to write. */
-  synchronized String move() {
+  /** Moves a route to the other service; returns the configuration to write. */
+  synchronized String moveRoute() {
     version += VERSION_STEP;
-    movingTo = movingTo.equals("tables") ? "bundles" : "tables";
-    movedMs = System.currentTimeMillis();
+    movingService = movingService.equals("tables") ? "bundles" : "tables";
+    movedAtMs = System.currentTimeMillis();
     return configuration();
   }
 
-  /** Adds or drops the route; returns the configuration to write. */
-  synchronized String change() {
+  /** Adds or removes the intermittent route; returns the configuration to write. */
+  synchronized String toggleIntermittentRoute() {
     version += VERSION_STEP;
-    extra = !extra;
-    extraDroppedMs = extra ? Long.MAX_VALUE : System.currentTimeMillis();
-    extraSinceMs = extra ? System.currentTimeMillis() : Long.MAX_VALUE;
+    hasIntermittent = !hasIntermittent;
+    intermittentRemovedMs = hasIntermittent ? Long.MAX_VALUE : System.currentTimeMillis();
+    intermittentSinceMs = hasIntermittent ? System.currentTimeMillis() : Long.MAX_VALUE;
     return configuration();
   }
 
   @Override
   public synchronized long removedSinceMs(int address, String service) {
-    if (address == MOVES) {
-      return service.equals(movingTo) ? Long.MAX_VALUE : movedMs;
+    if (address == MOVING) {
+      return service.equals(movingService) ? Long.MAX_VALUE : movedAtMs;
     }
-    return address == COMES_AND_GOES ? extraDroppedMs : Long.MAX_VALUE;
+    return address == INTERMITTENT ? intermittentRemovedMs : Long.MAX_VALUE;
   }
 
-  /** Returns since when the route that comes and goes is there; the largest value if it is not. */
-  synchronized long extraSinceMs() {
-    return extraSinceMs;
+  /**
+   * Returns when the intermittent route was added, in milliseconds since the epoch; {@code
+   * Long.MAX_VALUE} if it is not configured.
+   */
+  synchronized long intermittentSinceMs() {
+    return intermittentSinceMs;
   }
 
   synchronized String configuration() {
     List<ForwardingRoute> routes = new ArrayList<>();
     routes.add(route(TABLES, serviceOf(TABLES)));
     routes.add(route(BUNDLES, serviceOf(BUNDLES)));
-    if (extra) {
-      routes.add(route(COMES_AND_GOES, serviceOf(COMES_AND_GOES)));
+    if (hasIntermittent) {
+      routes.add(route(INTERMITTENT, serviceOf(INTERMITTENT)));
     }
     if (hasMoving) {
-      routes.add(route(MOVES, movingTo));
+      routes.add(route(MOVING, movingService));
     }
     return StoreJson.configuration(
         new ForwardingConfiguration(version, IDLE_TIMEOUT_MS, routes, Map.of()));
--- a/lab/src/main/java/io/moorstage/lab/soak/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/soak/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The fault soak: a small fleet of real processes, faults from outside at random moments, and the
- * monitors of what must hold; docs/SOAK.md says what it has found.
+ * The fault soak: runs a small fleet of real processes, injects faults at random times, and checks
+ * the rules that must hold. docs/SOAK.md lists the faults that it has found.
  *
- * <p>Owns the choice of faults, which a seed decides, and their order. Relies on the stand-ins for
- * everything that the fleet meets.
+ * <p>Owns the kinds and the order of the injected faults, which a seed determines. Relies on the
+ * stand-ins for the store, the targets, the clients and the router around the fleet.
  */
 package io.moorstage.lab.soak;
--- a/lab/src/test/java/io/moorstage/lab/soak/FaultSoakTest.java
+++ b/lab/src/test/java/io/moorstage/lab/soak/FaultSoakTest.java
@@ -9,49 +9,52 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The soak with fixed seeds, or, with the properties {@code soak.seed} and {@code soak.minutes},
- * with one seed for longer; {@code build-tools/soak} sets them, and {@code soak.moves} for a route
- * that moves, {@code soak.restores} for a store that comes back from older copies. Logs stay in
- * {@code target/soak}.
+ * Guards against breaches of the rules under random faults. Runs the soak with fixed seeds, or,
+ * with the properties {@code soak.seed} and {@code soak.minutes}, with one seed for a longer time.
+ * {@code build-tools/soak} sets these properties, {@code soak.moves} for a route that moves between
+ * services, and {@code soak.restores} for a store that is restored from older copies. Logs are kept
+ * in {@code target/soak}.
  */
 class FaultSoakTest {
-  /** Two that have never failed, and those that have (causes in docs/SOAK.md). */
+  /** Two seeds that have never failed, and those that have; docs/SOAK.md gives the causes. */
   private static final long[] SEEDS = {1, 2, 7, 13};
 
-  /** With a route that moves between services. */
+  /** Seeds of the soaks with a route that moves between services. */
   private static final long[] MOVING_SEEDS = {33};
 
-  /** With a store that comes back from older copies, and targets that keep their ids. */
+  /**
+   * Seeds of the soaks with a store restored from older copies, and targets that keep their ids.
+   */
   private static final long[] RESTORING_SEEDS = {41};
 
-  private static final int SECONDS_A_SEED = 25;
+  private static final int SECONDS_PER_SEED = 25;
   private static final int MS_PER_S = 1_000;
   private static final int MS_PER_MINUTE = 60_000;
 
   @Test
-  void nothingThatMustHoldIsBroken() throws Exception {
+  void noRuleIsBrokenUnderFaults() throws Exception {
     String seed = System.getProperty("soak.seed");
     List<String> breaches = new ArrayList<>();
     if (seed != null) {
       int minutes = Integer.getInteger("soak.minutes", 1);
       SoakOptions options =
           new SoakOptions(Boolean.getBoolean("soak.moves"), Boolean.getBoolean("soak.restores"));
-      soak(Long.parseLong(seed), options, minutes * MS_PER_MINUTE, breaches);
+      runSoak(Long.parseLong(seed), options, minutes * MS_PER_MINUTE, breaches);
     } else {
-      for (long fixed : SEEDS) {
-        soak(fixed, SoakOptions.PLAIN, SECONDS_A_SEED * MS_PER_S, breaches);
+      for (long fixedSeed : SEEDS) {
+        runSoak(fixedSeed, SoakOptions.PLAIN, SECONDS_PER_SEED * MS_PER_S, breaches);
       }
-      for (long fixed : MOVING_SEEDS) {
-        soak(fixed, new SoakOptions(true, false), SECONDS_A_SEED * MS_PER_S, breaches);
+      for (long fixedSeed : MOVING_SEEDS) {
+        runSoak(fixedSeed, new SoakOptions(true, false), SECONDS_PER_SEED * MS_PER_S, breaches);
       }
-      for (long fixed : RESTORING_SEEDS) {
-        soak(fixed, new SoakOptions(false, true), SECONDS_A_SEED * MS_PER_S, breaches);
+      for (long fixedSeed : RESTORING_SEEDS) {
+        runSoak(fixedSeed, new SoakOptions(false, true), SECONDS_PER_SEED * MS_PER_S, breaches);
       }
     }
     assertWithMessage("broken").that(breaches).isEmpty();
   }
 
-  private static void soak(long seed, SoakOptions options, int durationMs, List<String> breaches)
+  private static void runSoak(long seed, SoakOptions options, int durationMs, List<String> breaches)
       throws Exception {
     Path folder = Path.of("target", "soak", "seed-" + seed);
     FaultSoak soak = new FaultSoak(seed, options, LaunchCommand.ofOwnClasses(), folder);
