--- a/lab/src/main/java/io/moorstage/lab/demo/Demo.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/Demo.java
@@ -14,32 +14,36 @@
 import java.util.Random;
 
 /**
- * The course of a demonstration: load for 20 s, during which a balancer is killed and a target
- * drained.
+ * Runs a demonstration: clients send load for 20 s, during which a balancer is killed and a target
+ * is drained.
  */
 final class Demo implements AutoCloseable {
-  private static final String CLIENTS = "127.79.9.1";
+  private static final String CLIENT_ADDRESS = "127.79.9.1";
   private static final int LOAD_S = 20;
 
-  /** Early enough that routers have noticed it before the target drains. */
+  /** Early enough that the router has detected the failure before the target drains. */
   private static final int KILL_AT_S = 4;
 
-  /** Leaves as long after the time in which it must be known everywhere as that takes. */
+  /**
+   * Early enough that the load continues for at least another {@link
+   * RuleMonitor#PROPAGATION_LIMIT_MS} after that limit has passed, so that late openings are
+   * clientListener.
+   */
   private static final int DRAIN_AT_S = 8;
 
-  /** The last seconds of the load, in which all must be served again. */
+  /** The last seconds of the load, in which requests must be served again. */
   private static final int CHECK_S = 5;
 
-  /** The rests of a flow of many requests, and a deadline. */
+  /** Covers the think times of a flow with the most requests and the deadline of one request. */
   private static final int FINISH_S = 8;
 
   private static final int MS_PER_S = 1_000;
 
-  /** Any will do; the moments at which programs act are the machine's. */
+  /** An arbitrary seed; the times at which programs are scheduled differ between runs anyway. */
   private static final long SEED = 1;
 
   private final RuleMonitor monitor = new RuleMonitor();
-  private final DemoClientListener seen = new DemoClientListener(monitor);
+  private final DemoClientListener clientListener = new DemoClientListener(monitor);
   private final DemoFleet fleet;
   private final DemoTraffic traffic;
   private final Router router;
@@ -47,43 +51,43 @@
   private long servedBeforeCheck;
 
   /**
-   * Starts the store and nothing else.
+   * Creates a demonstration and starts only its store.
    *
-   * @throws IOException if an address can't be bound, or the folder not be made
+   * @throws IOException if an address can't be bound or the folder can't be created
    */
   Demo(Deployment deployment, LaunchCommand command, Path folder) throws IOException {
     Files.createDirectories(folder);
     fleet = new DemoFleet(deployment, command, folder, monitor);
     traffic = new DemoTraffic(deployment.loadedRoutes(), new Random(SEED));
     router = new Router(fleet.balancers());
-    clients = new FlowClients(CLIENTS, router, traffic, seen, fleet::targetOf);
+    clients = new FlowClients(CLIENT_ADDRESS, router, traffic, clientListener, fleet::targetOf);
   }
 
-  /** Runs from the first start to the table; returns what was broken. */
+  /** Starts the fleet, runs the load and prints the table; returns the breaches. */
   List<String> run() throws IOException, InterruptedException, NotReadyException {
     fleet.start();
     System.out.println("all programs are ready, load begins");
     clients.start();
-    WatchedTarget leaving = fleet.leaving();
+    WatchedTarget drainTarget = fleet.drainTarget();
     for (int second = 1; second <= LOAD_S; second++) {
-      String event = act(second, leaving);
+      String event = triggerEvent(second, drainTarget);
       Thread.sleep(MS_PER_S);
-      System.out.println(DemoReport.progress(second, seen, monitor, event));
+      System.out.println(DemoReport.progress(second, clientListener, monitor, event));
     }
-    finish();
-    System.out.println(DemoReport.table(seen, monitor, fleet.targets(), leaving));
+    finishLoad();
+    System.out.println(DemoReport.table(clientListener, monitor, fleet.targets(), drainTarget));
     return monitor.breaches();
   }
 
-  private String act(int second, WatchedTarget leaving) throws InterruptedException {
+  private String triggerEvent(int second, WatchedTarget drainTarget) throws InterruptedException {
     if (second == KILL_AT_S) {
       String balancer = fleet.balancers().get(0);
       fleet.kill(balancer);
       return "killed balancer " + balancer;
     }
     if (second == DRAIN_AT_S) {
-      fleet.drain(leaving);
-      return "draining target " + leaving.start().id();
+      fleet.drain(drainTarget);
+      return "draining target " + drainTarget.start().id();
     }
     if (second == LOAD_S - CHECK_S + 1) {
       servedBeforeCheck = monitor.servedCount();
@@ -91,9 +95,9 @@
     return "";
   }
 
-  private void finish() throws InterruptedException {
+  private void finishLoad() throws InterruptedException {
     long served = monitor.servedCount() - servedBeforeCheck;
-    // Each new flow asks at least once.
+    // Each new flow sends at least one request.
     if (served < CHECK_S * DemoTraffic.FLOWS_PER_S) {
       monitor.recordBreach(Rule.NO_RECOVERY, "served " + served + " in " + CHECK_S + " s");
     }
@@ -104,7 +108,7 @@
     }
   }
 
-  /** Ends all that was started. */
+  /** Stops everything that was started. */
   @Override
   public void close() throws IOException, InterruptedException {
     clients.close();
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoClientListener.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoClientListener.java
@@ -8,16 +8,16 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Counts what clients send and how long answers take, beside what the monitor judges. */
+/** Counts requests and measures their latency, in addition to reporting to the monitor. */
 final class DemoClientListener extends MonitoringClientListener {
-  /** A minute; requests end at their deadline, long before. */
+  /** One minute, which is far longer than the deadline of a request. */
   private static final long MAX_LATENCY_US = TimeUnit.MINUTES.toMicros(1);
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final AtomicLong sent = new AtomicLong();
   private final AtomicLong unopened = new AtomicLong();
-  private final Histogram latenciesUs = new ConcurrentHistogram(MAX_LATENCY_US, DIGITS);
+  private final Histogram latenciesUs = new ConcurrentHistogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
 
   DemoClientListener(RuleMonitor monitor) {
     super(monitor);
@@ -29,10 +29,10 @@
   }
 
   @Override
-  public void onServed(long tookNs) {
-    super.onServed(tookNs);
-    long tookUs = TimeUnit.NANOSECONDS.toMicros(tookNs);
-    latenciesUs.recordValue(Math.min(tookUs, MAX_LATENCY_US));
+  public void onServed(long latencyNs) {
+    super.onServed(latencyNs);
+    long latencyUs = TimeUnit.NANOSECONDS.toMicros(latencyNs);
+    latenciesUs.recordValue(Math.min(latencyUs, MAX_LATENCY_US));
   }
 
   @Override
@@ -43,7 +43,10 @@
     }
   }
 
-  /** Returns the flows of which no request was ever sent; a client may ask again on another. */
+  /**
+   * Returns the number of failed flows that no target accepted. No request was sent on them, so
+   * that a client may retry on another flow.
+   */
   long unopenedCount() {
     return unopened.get();
   }
@@ -52,7 +55,7 @@
     return sent.get();
   }
 
-  /** Returns the latency in microseconds that a share of the answers has kept, in percent. */
+  /** Returns the latency of requests at a percentile, in microseconds. */
   long latencyUs(double percentile) {
     return latenciesUs.getValueAtPercentile(percentile);
   }
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoCommand.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoCommand.java
@@ -13,18 +13,18 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Shows a small deployment at work; fails if a promise was broken. */
+/** Runs a small deployment under load; fails if a rule was broken. */
 @Parameters(
     commandDescription =
         "Run a small deployment under load, kill a balancer and drain a target meanwhile")
 public final class DemoCommand implements LabCommand {
-  @Parameter(names = "--policy", description = "Its first two zones are started")
+  @Parameter(names = "--policy", description = "Policy whose first two zones are started")
   private Path policy = Build.root().resolve("examples").resolve("tunis.policy");
 
-  @Parameter(names = "--jar", description = "The programs to run")
+  @Parameter(names = "--jar", description = "Jar of the programs to run")
   private Path jar = Build.jar();
 
-  @Parameter(names = "--logs", description = "A folder for settings and logs")
+  @Parameter(names = "--logs", description = "Folder for settings and logs")
   private Path logs = Build.output("demo");
 
   @Override
@@ -43,24 +43,24 @@
       throws IOException, NotReadyException, InterruptedException {
     System.out.println("logs of all programs: " + logs);
     Demo demo = new Demo(deployment, LaunchCommand.ofJar(jar), logs);
-    Thread end = new Thread(() -> endBySignal(demo), "end");
-    Runtime.getRuntime().addShutdownHook(end);
-    List<String> broken;
+    Thread shutdownHook = new Thread(() -> closeOnShutdown(demo), "end");
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
+    List<String> breaches;
     try (demo) {
-      broken = demo.run();
+      breaches = demo.run();
     }
-    for (String breach : broken) {
+    for (String breach : breaches) {
       System.out.println("broken " + breach);
     }
-    return broken.isEmpty() ? ExitCode.DONE : ExitCode.FAILED;
+    return breaches.isEmpty() ? ExitCode.DONE : ExitCode.FAILED;
   }
 
-  // Ends nothing a second time: what is closed stays so.
-  private static void endBySignal(Demo demo) {
+  // After a regular end, this closes the demonstration a second time, which has no effect.
+  private static void closeOnShutdown(Demo demo) {
     try {
       demo.close();
     } catch (IOException | InterruptedException e) {
-      System.err.println("demo: could not end all: " + e);
+      System.err.println("demo: could not stop all programs and stand-ins: " + e);
     }
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoFleet.java
@@ -24,9 +24,9 @@
 import java.util.Map;
 import javax.annotation.Nullable;
 
-/** A deployment on loopback: its store, a balancer for each zone, its targets and their agents. */
+/** A deployment on loopback: a store, a balancer for each zone, the targets and their agents. */
 final class DemoFleet implements AutoCloseable {
-  private static final String STORE = "127.79.8.1";
+  private static final String STORE_ADDRESS = "127.79.8.1";
   private static final String BALANCER_NETWORK = "127.79.1.";
   private static final String TARGET_NETWORK = "127.79.2.";
 
@@ -39,17 +39,17 @@
   private final List<WatchedTarget> targets = new ArrayList<>();
 
   /**
-   * Starts the store and nothing else.
+   * Creates a fleet and starts only its store.
    *
-   * @throws IOException if its address can't be bound
+   * @throws IOException if the store's address can't be bound
    */
   DemoFleet(Deployment deployment, LaunchCommand command, Path folder, RuleMonitor monitor)
       throws IOException {
     this.deployment = deployment;
     this.monitor = monitor;
-    this.store = new StandInStore(new InetSocketAddress(STORE, Ports.STORE));
+    this.store = new StandInStore(new InetSocketAddress(STORE_ADDRESS, Ports.STORE));
     this.balancers = addresses(BALANCER_NETWORK, deployment.zones().size());
-    this.programs = new Programs(command, folder, STORE, balancers);
+    this.programs = new Programs(command, folder, STORE_ADDRESS, balancers);
   }
 
   private static List<String> addresses(String network, int count) {
@@ -60,12 +60,12 @@
     return List.copyOf(addresses);
   }
 
-  /** Starts all and waits until every program is ready. */
+  /** Starts all targets and programs, and waits until every program is ready. */
   void start() throws IOException, InterruptedException, NotReadyException {
     store.put(StoreKeys.CONFIGURATION, StoreJson.configuration(deployment.configuration()));
-    List<String> sides = addresses(TARGET_NETWORK, deployment.targets().size());
-    for (int i = 0; i < sides.size(); i++) {
-      startSide(sides.get(i), deployment.targets().get(i));
+    List<String> targetAddresses = addresses(TARGET_NETWORK, deployment.targets().size());
+    for (int i = 0; i < targetAddresses.size(); i++) {
+      startTargetAndAgent(targetAddresses.get(i), deployment.targets().get(i));
     }
     for (int i = 0; i < balancers.size(); i++) {
       String zone = deployment.zones().get(i);
@@ -76,7 +76,7 @@
     }
   }
 
-  private void startSide(String address, PolicyTarget target) throws IOException {
+  private void startTargetAndAgent(String address, PolicyTarget target) throws IOException {
     TargetStart start =
         TargetStart.of(target.name(), target.service(), address, target.zone(), target.slotCount());
     targets.add(new WatchedTarget(start, monitor, new FixedRoutes(deployment)));
@@ -92,12 +92,12 @@
     return targets;
   }
 
-  /** Returns the target that is to drain. */
-  WatchedTarget leaving() {
-    return targets.get(deployment.targets().indexOf(deployment.leaving()));
+  /** Returns the target that is drained during the demonstration. */
+  WatchedTarget drainTarget() {
+    return targets.get(deployment.targets().indexOf(deployment.drainTarget()));
   }
 
-  /** Returns the target that accepts flows with a sequence; null for none. */
+  /** Returns the target that accepts flows with a sequence number; null if there is none. */
   @Nullable
   StandInTarget targetOf(int sequence) {
     for (WatchedTarget target : targets) {
@@ -108,19 +108,19 @@
     return null;
   }
 
-  /** Kills a balancer, which stays away. */
+  /** Kills a balancer, which is not restarted. */
   void kill(String balancer) throws InterruptedException {
     monitor.recordFault(System.currentTimeMillis());
     processes.remove(balancer).destroyForcibly().waitFor();
   }
 
-  /** Says in the store that a target is leaving. */
+  /** Marks a target as draining in the store. */
   void drain(WatchedTarget target) {
     target.setNoNewFlowsSince(System.currentTimeMillis());
     store.put(StoreKeys.target(target.start().id()), target.start().entry(true));
   }
 
-  /** Notes the programs that have ended without having been told to. */
+  /** Records a breach for each program that has ended although it was not stopped. */
   void checkProcesses() {
     for (Map.Entry<String, Process> entry : processes.entrySet()) {
       if (!entry.getValue().isAlive()) {
@@ -138,7 +138,7 @@
     store.close();
   }
 
-  /** Routes that stay as they are. */
+  /** The routes of the deployment, which do not change. */
   private record FixedRoutes(Deployment deployment) implements ExpectedRoutes {
     @Override
     public boolean mayReceiveFlows(int address, String service) {
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoReport.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoReport.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The text of a demonstration. */
+/** Formats the progress lines and the final table of a demonstration. */
 final class DemoReport {
   private static final double MEDIAN = 50;
   private static final double P99 = 99;
@@ -14,39 +14,44 @@
 
   private DemoReport() {}
 
-  static String progress(int second, DemoClientListener seen, RuleMonitor monitor, String event) {
+  /** Returns the line printed after a second of load. */
+  static String progress(
+      int second, DemoClientListener clientListener, RuleMonitor monitor, String event) {
     return String.format(
         "t=%2ds sent=%d served=%d failed_flows=%d broken=%d %s",
         second,
-        seen.sentCount(),
+        clientListener.sentCount(),
         monitor.servedCount(),
         monitor.failedCount(),
         monitor.breaches().size(),
         event);
   }
 
-  /** Returns the table at the end. */
+  /** Returns the table printed after the load has ended. */
   static String table(
-      DemoClientListener seen,
+      DemoClientListener clientListener,
       RuleMonitor monitor,
       List<WatchedTarget> targets,
-      WatchedTarget leaving) {
+      WatchedTarget drainTarget) {
     StringBuilder table = new StringBuilder(System.lineSeparator());
-    row(table, "requests sent", Long.toString(seen.sentCount()));
+    row(table, "requests sent", Long.toString(clientListener.sentCount()));
     row(table, "requests served", Long.toString(monitor.servedCount()));
-    row(table, "requests failed", Long.toString(seen.sentCount() - monitor.servedCount()));
-    row(table, "flows that never opened", Long.toString(seen.unopenedCount()));
-    row(table, "latency p50", milliseconds(seen.latencyUs(MEDIAN)));
-    row(table, "latency p99", milliseconds(seen.latencyUs(P99)));
+    row(
+        table,
+        "requests failed",
+        Long.toString(clientListener.sentCount() - monitor.servedCount()));
+    row(table, "flows that never opened", Long.toString(clientListener.unopenedCount()));
+    row(table, "latency p50", milliseconds(clientListener.latencyUs(MEDIAN)));
+    row(table, "latency p99", milliseconds(clientListener.latencyUs(P99)));
     for (WatchedTarget target : targets) {
       String name = "requests at " + target.start().id() + ", " + target.start().zone();
       row(table, name, Long.toString(target.runCount()));
     }
-    String late =
+    String lateOpenings =
         String.format(
             "openings at %s after %d s of draining",
-            leaving.start().id(), RuleMonitor.PROPAGATION_LIMIT_MS / MS_PER_S);
-    row(table, late, Long.toString(leaving.lateOpeningCount()));
+            drainTarget.start().id(), RuleMonitor.PROPAGATION_LIMIT_MS / MS_PER_S);
+    row(table, lateOpenings, Long.toString(drainTarget.lateOpeningCount()));
     row(table, "promises broken", Integer.toString(monitor.breaches().size()));
     return table.toString();
   }
--- a/lab/src/main/java/io/moorstage/lab/demo/DemoTraffic.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DemoTraffic.java
@@ -9,14 +9,17 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Steady load on all routes: new flows at random moments, each with some requests. */
+/** Steady load on all routes: new flows at random times, each with one to eight requests. */
 final class DemoTraffic implements Traffic {
-  /** Leaves most of two cores idle, so that the table shows the programs and not the machine. */
+  /**
+   * Leaves most of two cores idle, so that the table shows the speed of the programs and not the
+   * limits of the machine.
+   */
   static final int FLOWS_PER_S = 40;
 
   private static final int MS_PER_S = 1_000;
   private static final int MAX_REQUESTS = 8;
-  private static final int MAX_REST_MS = 500;
+  private static final int MAX_THINK_TIME_MS = 500;
 
   private final List<ForwardingRoute> routes;
   private final Random random;
@@ -27,7 +30,7 @@
     this.random = random;
   }
 
-  /** Opens no more flows; those that are open go on. */
+  /** Stops opening flows; open flows continue. */
   void stop() {
     stopped = true;
   }
@@ -44,6 +47,6 @@
 
   @Override
   public int thinkTimeMs() {
-    return random.nextInt(MAX_REST_MS);
+    return random.nextInt(MAX_THINK_TIME_MS);
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/demo/Deployment.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/Deployment.java
@@ -11,26 +11,28 @@
 import java.util.Set;
 
 /**
- * What a demonstration starts: as much of a policy as a small machine runs beside its load.
+ * The part of a policy that a demonstration starts, small enough for one machine that also runs the
+ * load.
  *
- * @param zones two zones; each gets a balancer
+ * @param zones the two zones, each with one balancer
  * @param configuration all routes of the policy
- * @param loadedRoutes the routes that have a target here, which get load
- * @param targets one of each service in each of the zones; each gets an agent
- * @param leaving the one of them that drains; another one has its service
+ * @param loadedRoutes the routes whose services all have a target here; clients send load to them
+ * @param targets the first target of each service in each zone, each with one agent
+ * @param drainTarget the target that is drained; another target has the same service
  */
 record Deployment(
     List<String> zones,
     ForwardingConfiguration configuration,
     List<ForwardingRoute> loadedRoutes,
     List<PolicyTarget> targets,
-    PolicyTarget leaving) {
+    PolicyTarget drainTarget) {
   private static final int ZONES = 2;
 
   /**
-   * Takes the first two zones of a policy, and of each service its first target in each of them.
+   * Selects the first two zones of a policy and the first target of each service in each of them.
    *
-   * @throws DeploymentException if there are fewer zones, or no service has two such targets
+   * @throws DeploymentException if there are fewer zones, or no service of a loaded route has two
+   *     such targets
    */
   static Deployment of(CompiledPolicy policy) throws DeploymentException {
     if (policy.zones().size() < ZONES) {
@@ -39,15 +41,15 @@
     List<String> zones = policy.zones().subList(0, ZONES);
     List<PolicyTarget> targets = firstTargets(policy.targets(), zones);
     List<ForwardingRoute> routes = servedRoutes(policy.configuration().routes(), targets);
-    PolicyTarget leaving = leavingTarget(targets, routes);
-    return new Deployment(zones, policy.configuration(), routes, targets, leaving);
+    PolicyTarget drainTarget = findDrainTarget(targets, routes);
+    return new Deployment(zones, policy.configuration(), routes, targets, drainTarget);
   }
 
   private static List<PolicyTarget> firstTargets(List<PolicyTarget> all, List<String> zones) {
     List<PolicyTarget> first = new ArrayList<>();
-    Set<List<String>> taken = new HashSet<>();
+    Set<List<String>> seenServiceZones = new HashSet<>();
     for (PolicyTarget target : all) {
-      boolean isFirst = taken.add(List.of(target.service(), target.zone()));
+      boolean isFirst = seenServiceZones.add(List.of(target.service(), target.zone()));
       if (isFirst && zones.contains(target.zone())) {
         first.add(target);
       }
@@ -68,11 +70,11 @@
     return List.copyOf(served);
   }
 
-  private static PolicyTarget leavingTarget(
+  private static PolicyTarget findDrainTarget(
       List<PolicyTarget> targets, List<ForwardingRoute> routes) throws DeploymentException {
     for (PolicyTarget target : targets) {
-      boolean loaded = routes.stream().anyMatch(route -> route.hasService(target.service()));
-      if (loaded && countOf(target.service(), targets) > 1) {
+      boolean hasLoad = routes.stream().anyMatch(route -> route.hasService(target.service()));
+      if (hasLoad && countOf(target.service(), targets) > 1) {
         return target;
       }
     }
--- a/lab/src/main/java/io/moorstage/lab/demo/DeploymentException.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/DeploymentException.java
@@ -1,11 +1,11 @@
 package io.moorstage.lab.demo;
 
-/** A policy has too little for a demonstration. */
+/** Thrown if a policy has too few zones or targets for a demonstration. */
 public final class DeploymentException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says what it lacks. */
-  DeploymentException(String lack) {
-    super("a demonstration needs " + lack);
+  /** Creates an exception that names what the policy lacks. */
+  DeploymentException(String requirement) {
+    super("a demonstration needs " + requirement);
   }
 }
--- a/lab/src/main/java/io/moorstage/lab/demo/package-info.java
+++ b/lab/src/main/java/io/moorstage/lab/demo/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The demonstration: a deployment on loopback under load, of which a balancer is killed and a
- * target drained.
+ * The demonstration: runs a deployment on loopback under load, kills a balancer and drains a
+ * target.
  *
- * <p>Owns the course of events and the table at the end. Relies on the stand-ins, and on the
- * monitor for what counts as broken.
+ * <p>Owns the sequence of events and the final table. Relies on the stand-ins, and on the monitor
+ * for the rules that are checked.
  */
 package io.moorstage.lab.demo;
--- a/lab/src/test/java/io/moorstage/lab/demo/DeploymentTest.java
+++ b/lab/src/test/java/io/moorstage/lab/demo/DeploymentTest.java
@@ -9,6 +9,10 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a demonstration with too few targets: load to a service without a target, or the
+ * drain of the only target of a service, would fail requests although the programs work.
+ */
 class DeploymentTest {
   private static Deployment of(String text) throws Exception {
     return Deployment.of(PolicyCompiler.compile(text));
@@ -39,14 +43,14 @@
         of("zones a, b, c;\n" + service("far", 1, "c") + service("near", 2, "a", "b"));
     assertThat(deployment.configuration().routes()).hasSize(2);
     assertThat(deployment.loadedRoutes()).hasSize(1);
-    assertThat(deployment.leaving().service()).isEqualTo("near");
+    assertThat(deployment.drainTarget().service()).isEqualTo("near");
   }
 
   @Test
-  void onlyTargetOfAServiceIsNotTheOneThatDrains() throws Exception {
+  void onlyTargetOfAServiceIsNotDrained() throws Exception {
     Deployment deployment =
         of("zones a, b;\n" + service("alone", 1, "a") + service("pair", 2, "a", "b"));
-    assertThat(deployment.leaving().service()).isEqualTo("pair");
+    assertThat(deployment.drainTarget().service()).isEqualTo("pair");
   }
 
   @Test
