--- a/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/RuleMonitor.java
@@ -33,10 +33,10 @@
    * Records a packet that a client sends. A packet that reaches a target without having been
    * recorded here was changed or made up on the way.
    *
-   * @param immutableFields the packet without the fields that the fleet may change
+   * @param immutableContent the content of the packet that must arrive unchanged
    */
-  public synchronized void recordSentPacket(String immutableFields) {
-    sentPackets.add(immutableFields);
+  public synchronized void recordSentPacket(String immutableContent) {
+    sentPackets.add(immutableContent);
   }
 
   /**
@@ -57,10 +57,10 @@
   /**
    * Records a packet that a target receives, and a breach if no client has sent it.
    *
-   * @param immutableFields the packet without the fields that the fleet may change
+   * @param immutableContent the content of the packet that must arrive unchanged
    */
-  public synchronized void recordReceivedPacket(String immutableFields, String target) {
-    if (!sentPackets.contains(immutableFields)) {
+  public synchronized void recordReceivedPacket(String immutableContent, String target) {
+    if (!sentPackets.contains(immutableContent)) {
       recordBreach(Rule.CHANGED_PACKET, "at " + target);
     }
   }
