--- a/lab/src/main/java/io/moorstage/lab/monitor/MonitoringClientListener.java
+++ b/lab/src/main/java/io/moorstage/lab/monitor/MonitoringClientListener.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void onServed(long tookNs) {
+  public void onServed(long latencyNs) {
     monitor.recordServedRequest();
   }
 
