--- a/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingCounter.java
+++ b/forwarding/src/main/java/io/moorstage/forwarding/metrics/ForwardingCounter.java
@@ -20,7 +20,7 @@
   SOURCE_REFUSED("Calls that the source rejected."),
   SOURCE_HISTORY_GONE("Calls for changes that the source no longer had in its history."),
   SOURCE_ERA_CHANGED(
-      "Calls that found the source in a later era; the complete state was then read again."),
+      "Calls that found the source in a later era, after which the complete state was read again."),
   SOURCE_OUTDATED("Responses of the source from an earlier era than that of this node's state."),
   SOURCE_MALFORMED("Responses of the source that were truncated, malformed or too large."),
   PEER_STATES("States taken over from another node, as they were newer than this node's state."),
